--- a/tests/test_protocol/test_protocol_samples.py
+++ b/tests/test_protocol/test_protocol_samples.py
@@ -364,7 +364,13 @@
 
 
 def test_each_message_has_a_sample():
-    assert sorted(peer.MESSAGES) == [item.tag for item, _ in MESSAGES]
+    # other tests register messages of their own
+    tags = [
+        tag
+        for tag, cls in peer.MESSAGES.items()
+        if cls.__module__.startswith('lavenderbend.')
+    ]
+    assert sorted(tags) == [item.tag for item, _ in MESSAGES]
 
 
 def test_claims_have_the_bytes_of_earlier_builds():
