--- a/lavenderbend/coordination/admission/__init__.py
+++ b/lavenderbend/coordination/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Admission: permits from the owners of groups of upstreams."""
+"""Admission: owners of upstream groups grant permits to entry routers."""
 
 from __future__ import annotations
 
--- a/lavenderbend/coordination/admission/search.py
+++ b/lavenderbend/coordination/admission/acquisition.py
@@ -1,4 +1,4 @@
-"""The search for one permit, at the entry."""
+"""Acquires one permit at the entry router."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lavenderbend.coordination import interfaces
 from lavenderbend.coordination import placement
 from lavenderbend.coordination.admission import groups
-from lavenderbend.coordination.admission import held
+from lavenderbend.coordination.admission import held_permits
 from lavenderbend.coordination.admission import refusals
 from lavenderbend.coordination.admission import serving
 from lavenderbend.observe import metrics
@@ -22,18 +22,32 @@
     from lavenderbend.state import configuration
     from lavenderbend.state import upstreams
 
-CHAT_SHIFT = 32
-LAST_WORD_SECONDS = 0.05
+CHAT_SHIFT_BITS = 32
+# time before the deadline at which the acquisition ends
+DEADLINE_MARGIN_SECONDS = 0.05
 # how long a group without upstreams for a model is not asked for it
-EMPTY_SECONDS = 3.0
+UNSERVED_SECONDS = 3.0
 
 DEGRADED = metrics.counter(
     'lavenderbend_permits_degraded_total', 'Permits given without an owner.'
 )
 
 
-class Search:
-    """The search for one permit."""
+class PermitAcquisition:
+    """Acquires one permit.
+
+    Attributes:
+        admission: The entry router's admission.
+        ask: The request that the permit is for.
+        pool: Its pool.
+        chat: Upper 32 bits of the chat hash.
+        number: Number of the permit requested now.
+        started: Router clock.
+        avoid: Short ids of upstreams that must not be used.
+        index: Index of the group to ask.
+        hops: How many groups redirected the request.
+        queued: Whether the request is queued at the owner.
+    """
 
     def __init__(
         self,
@@ -44,13 +58,15 @@
         self.admission = admission
         self.ask = ask
         self.pool = pool
-        self.chat = ask.chat >> CHAT_SHIFT
+        self.chat = ask.chat >> CHAT_SHIFT_BITS
         self.number = admission.next_number()
         self.started = trio.current_time()
-        self.avoid = {messages_decisions.short_id(one) for one in ask.avoid}
+        self.avoid = {
+            messages_decisions.short_id(upstream) for upstream in ask.avoid
+        }
         self.index = self.first_group()
         self.hops = 0
-        self.waits = False
+        self.queued = False
 
     async def run(self) -> interfaces.Permit:
         """Returns the permit; raises as `Admission.acquire`."""
@@ -59,13 +75,13 @@
             group = groups.group_id(self.pool, self.index)
             owner = self.admission.owner_of(group)
             if not owner:
-                permit = self.admit_alone(group)
+                permit = self.admit_degraded(group)
                 if permit is not None:
                     return permit
                 await trio.sleep(self.admission.settings.degraded_poll)
                 continue
             answer = await self.request(owner, group)
-            permit = self.follow(answer, owner, group)
+            permit = self.handle_answer(answer, owner, group)
             if permit is not None:
                 return permit
 
@@ -73,106 +89,118 @@
         """Returns the group to ask, of those that may serve the model.
 
         Raises:
-            NoUpstream: Every group has said that none of its upstreams does.
+            NoUpstream: Every group answered that none of its upstreams does.
         """
         now = trio.current_time()
-        empty = self.admission.empty
+        unserved_until = self.admission.unserved_until
         indices = [
             index
             for index in range(max(1, self.pool.groups))
-            if empty.get((self.pool.name, index, self.ask.model), 0.0) <= now
+            if unserved_until.get((self.pool.name, index, self.ask.model), 0.0)
+            <= now
         ]
         if not indices:
-            raise errors.NoUpstream('no upstream of the pool serves this', 1)
+            raise errors.NoUpstream(
+                'no upstream of the pool can serve this request', 1
+            )
         return groups.chat_group(self.chat or self.number, indices)
 
     def next_group(self, answer: messages_decisions.PermitElsewhere) -> None:
-        """Goes on to another group."""
+        """Selects the group that the answer redirects to, or another one."""
         if answer.group is not None:
             self.index = answer.group
             self.hops += 1
             return
         key = (self.pool.name, self.index, self.ask.model)
-        self.admission.empty[key] = trio.current_time() + EMPTY_SECONDS
+        self.admission.unserved_until[key] = (
+            trio.current_time() + UNSERVED_SECONDS
+        )
         self.index = self.first_group()
         self.hops = 0
 
     def check_deadline(self) -> None:
-        """Ends the search at the deadline.
+        """Checks that the deadline has not passed.
 
         Raises:
-            PoolFull: The deadline has come.
+            PoolFull: The deadline has passed.
         """
-        if trio.current_time() < self.ask.deadline - LAST_WORD_SECONDS:
+        if trio.current_time() < self.ask.deadline - DEADLINE_MARGIN_SECONDS:
             return
         raise errors.PoolFull('no upstream was free before the deadline', 1)
 
     async def request(
         self, owner: str, group: groups.GroupId
     ) -> peer.Message | None:
-        """Asks an owner; returns None if it cannot be reached."""
+        """Asks an owner; returns None if there is no usable answer."""
         admission = self.admission
         with trio.CancelScope() as scope:
-            admission.asking[owner][scope] = None
+            admission.pending[owner][scope] = None
             try:
                 answer = await self.exchange(owner, group)
-                if owner in admission.out_of_touch:
-                    admission.back_in_touch(owner)
+                if owner in admission.disconnected:
+                    admission.reconnect(owner)
                 return answer
             except errors.PeerRefused as exc:
                 refusals.raise_refusal(exc)
-                self.abandon(owner)
+                self.renumber(owner)
                 await trio.sleep(admission.settings.degraded_poll)
                 return None
             except errors.PeerUnreachable:
-                admission.asking[owner].pop(scope, None)
-                admission.suspect(owner)
-                self.abandon(owner)
+                admission.pending[owner].pop(scope, None)
+                admission.mark_unreachable(owner)
+                self.renumber(owner)
                 return None
             except trio.Cancelled:
-                self.give_up(owner)
+                self.release_number(owner)
                 raise
             finally:
-                admission.asking[owner].pop(scope, None)
+                admission.pending[owner].pop(scope, None)
         # cancelled because the owner is lost
-        self.abandon(owner)
+        self.renumber(owner)
         return None
 
     async def exchange(self, owner: str, group: groups.GroupId) -> peer.Message:
         """Sends the request or a poll and returns the answer."""
         settings = self.admission.settings
         left = self.ask.deadline - trio.current_time()
-        hold = settings.hold if self.waits else settings.first_hold
-        hold = max(0.0, min(hold, left - LAST_WORD_SECONDS))
-        item: peer.Message
-        if self.waits:
-            item = messages_decisions.PermitPoll(
+        hold = settings.hold if self.queued else settings.first_hold
+        hold = max(0.0, min(hold, left - DEADLINE_MARGIN_SECONDS))
+        message: peer.Message
+        if self.queued:
+            message = messages_decisions.PermitPoll(
                 self.number, group.pool, group.index, round(hold * 1000)
             )
         else:
-            item = self.message(owner, group, hold, left)
-        timeout = hold + settings.ask_timeout
-        return await self.admission.link.request(owner, item, timeout)
+            message = self.message(owner, group, hold, left)
+        timeout = hold + settings.answer_timeout
+        return await self.admission.link.request(owner, message, timeout)
 
-    def abandon(self, owner: str) -> None:
-        """Goes on with another number.
+    def renumber(self, owner: str) -> None:
+        """Gives up the current number and continues with a new one.
 
-        The owner may have granted this one all the same: without the notice
-        the permit would be live there until the next resync.
+        The owner may still have granted the old number: without the release
+        that permit would be live there until the next resync.
         """
-        self.give_up(owner)
+        self.release_number(owner)
         self.number = self.admission.next_number()
-        self.waits = False
+        self.queued = False
 
-    def give_up(self, owner: str) -> None:
-        """Tells an owner that this number is not used."""
-        item = messages_decisions.PermitRelease([self.number], True)
-        self.admission.tell(owner, item)
+    def release_number(self, owner: str) -> None:
+        """Notifies an owner that the current number is not used."""
+        message = messages_decisions.PermitRelease([self.number], True)
+        self.admission.send_notice(owner, message)
 
     def message(
         self, owner: str, group: groups.GroupId, hold: float, left: float
     ) -> messages_decisions.PermitRequest:
-        """Returns the message that asks for the permit."""
+        """Returns the message that requests the permit.
+
+        Args:
+            owner: Owner of the group.
+            group: The group.
+            hold: Seconds that the owner may hold its answer.
+            left: Seconds until the deadline.
+        """
         short_id = messages_decisions.short_id
         ask = self.ask
         return messages_decisions.PermitRequest(
@@ -190,15 +218,15 @@
             avoid=sorted(self.avoid),
             hops=self.hops,
             suspect=ask.suspect,
-            held=self.admission.held_of(owner, group),
+            held=self.admission.held_count(owner, group),
         )
 
-    def follow(
+    def handle_answer(
         self, answer: peer.Message | None, owner: str, group: groups.GroupId
     ) -> interfaces.Permit | None:
-        """Acts on an answer; returns the permit if there is one."""
+        """Handles an answer; returns the permit if it grants one."""
         if isinstance(answer, messages_decisions.PermitWaiting):
-            self.waits = True
+            self.queued = True
             return None
         if isinstance(answer, messages_decisions.PermitElsewhere):
             self.next_group(answer)
@@ -213,18 +241,19 @@
         owner: str,
         group: groups.GroupId,
     ) -> interfaces.Permit | None:
-        """Returns the permit, None if this entry may not use it."""
+        """Returns the permit, None if its upstream must not be used."""
         admission = self.admission
         names = self.names()
         vm = names.get(grant.upstream)
         if vm is None:
-            # this entry knows already that the upstream is leaving, the
-            # owner does not: a leaving upstream must get nothing new
-            self.abandon(owner)
+            # This entry router already knows that the upstream is leaving,
+            # the owner does not yet: a leaving upstream must not get any new
+            # request.
+            self.renumber(owner)
             self.avoid.add(grant.upstream)
             return None
         now = trio.current_time()
-        admission.held[self.number] = held.Held(
+        admission.held[self.number] = held_permits.HeldPermit(
             self.number,
             group,
             vm.id,
@@ -242,12 +271,12 @@
         )
 
     def names(self) -> dict[int, upstreams.Vm]:
-        """Returns the pool's upstreams by short id, as seen here."""
+        """Returns the upstreams of the pool's service by short id."""
         vms = self.admission.membership.upstreams(self.pool.service)
         return {messages_decisions.short_id(vm.id): vm for vm in vms}
 
-    def admit_alone(self, group: groups.GroupId) -> interfaces.Permit | None:
-        """Returns a permit within this entry's own share, if any."""
+    def admit_degraded(self, group: groups.GroupId) -> interfaces.Permit | None:
+        """Returns a permit within this entry router's share, if any."""
         if self.ask.suspect:
             # suspects cannot be kept apart without an owner
             return None
@@ -257,17 +286,17 @@
         membership = admission.membership
         usable = membership.upstreams(self.pool.service)
         vms = serving.serving(membership, usable, model)
-        unknown = serving.unknown(membership, usable, model)
+        unreported = serving.unreported_count(membership, usable, model)
         names = {vm.id: vm for vm in vms}
         upstream = admission.local.choose(
-            self.pool, vms, self.chat, ask.avoid, unknown
+            self.pool, vms, self.chat, ask.avoid, unreported
         )
         if upstream is None:
             return None
         now = trio.current_time()
         index = admission.directory.index(self.pool, upstream)
         group = groups.group_id(self.pool, index)
-        admission.held[self.number] = held.Held(
+        admission.held[self.number] = held_permits.HeldPermit(
             self.number,
             group,
             upstream,
--- a/lavenderbend/coordination/admission/leaving.py
+++ b/lavenderbend/coordination/admission/context_moves.py
@@ -1,4 +1,4 @@
-"""What an owner does with the contexts on an upstream that leaves."""
+"""Moves chat contexts off upstreams that leave a group."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
     from lavenderbend.coordination.admission import loads
 
 
-class Leaving:
+class ContextMover:
     """Moves contexts off upstreams that leave a group.
 
     Attributes:
-        present: Place of each upstream that was in the group.
+        members: Place of each upstream that was in the group at the last
+            check.
     """
 
     def __init__(
@@ -31,23 +32,23 @@
         self.places = places
         self.client = client
         self.settings = settings
-        self.present: dict[str, placements.Place] = {}
+        self.members: dict[str, placements.Place] = {}
 
-    def gone(self) -> list[placements.Place]:
-        """Returns the upstreams that have left since the last look."""
-        now: dict[str, placements.Place] = {}
+    def departed(self) -> list[placements.Place]:
+        """Returns the upstreams that left the group since the last check."""
+        members: dict[str, placements.Place] = {}
         for vm in self.loads.upstreams():
             place = placements.Place(vm.id, self.loads.instance(vm.id))
-            now[vm.id] = place
-        gone = [
-            place for name, place in self.present.items() if name not in now
+            members[vm.id] = place
+        departed = [
+            place for name, place in self.members.items() if name not in members
         ]
-        self.present = now
-        return gone
+        self.members = members
+        return departed
 
-    async def look(self) -> None:
-        """Moves what pays off the upstreams that have left."""
-        for place in self.gone():
+    async def move_departed(self) -> None:
+        """Moves contexts off the departed upstreams where that saves time."""
+        for place in self.departed():
             if self.client is None or not self.loads.pool().exports_cache:
                 continue
             await self.move(place, self.client)
@@ -61,15 +62,15 @@
             cache_transfer.Context(chat, use.tokens, now - use.at)
             for chat, use in self.places.at(place).items()
         ]
-        targets = {name: self.loads.table.load(name) for name in self.present}
+        targets = {name: self.loads.table.load(name) for name in self.members}
         moves = cache_transfer.plan(contexts, targets, self.settings)
         async for move in cache_transfer.carry_out(
             client, place.upstream, moves, self.settings.seconds
         ):
             chat = move.context.chat
-            held = self.places.get(chat)
-            if held and held[0] != place:
-                # the chat has had a turn elsewhere meanwhile
+            chat_places = self.places.get(chat)
+            if chat_places and chat_places[0] != place:
+                # the chat has had a turn on another upstream meanwhile
                 continue
             instance = self.loads.instance(move.target)
             use = placements.Use(move.context.tokens, now)
--- a/lavenderbend/coordination/admission/estimates.py
+++ b/lavenderbend/coordination/admission/estimates.py
@@ -1,4 +1,4 @@
-"""How long a request will wait, and whether that is too long."""
+"""Estimates of how long a request waits, compared with its deadline."""
 
 from __future__ import annotations
 
@@ -13,54 +13,63 @@
     from lavenderbend.coordination.admission import waiter as waiter_
 
 MIN_RETRY_AFTER_SECONDS = 1.0
-# requests that come later may go before one that waits already
+# factor on the estimate: later requests may overtake one that already waits
 ESTIMATE_MARGIN = 1.25
-SERVICE_PART = 0.25
+# most of a request's total time that is kept for running it
+MAX_SERVICE_FRACTION = 0.25
 
 
-class Estimates:
-    """Estimates by the rates at which permits come back."""
+class WaitEstimates:
+    """Estimates waiting times from the rates at which permits are released."""
 
-    def __init__(self, rates: rates_.Rates) -> None:
+    def __init__(self, rates: rates_.ReleaseRates) -> None:
         self.rates = rates
 
-    def estimate(self, ahead: int, mine: int, customer: int) -> float:
+    def estimate(
+        self, ahead: int, ahead_of_customer: int, customer: int
+    ) -> float:
         """Returns the seconds that a request will wait, 0 if unknown.
 
         Args:
-            ahead: Requests before it.
-            mine: Those of them that are its customer's.
-            customer: Its customer.
+            ahead: Number of requests before it.
+            ahead_of_customer: How many of them are its customer's.
+            customer: Short id of its customer.
         """
         rates = self.rates
         seconds = 0.0
         if rates.rate > 0:
             seconds = (ahead + 1) / rates.rate
-        own_rate = rates.customers.get(customer, 0.0)
-        if own_rate > 0 and mine > 0:
-            seconds = max(seconds, (mine + 1) / own_rate)
+        customer_rate = rates.customer_rates.get(customer, 0.0)
+        if customer_rate > 0 and ahead_of_customer > 0:
+            seconds = max(seconds, (ahead_of_customer + 1) / customer_rate)
         return seconds * ESTIMATE_MARGIN
 
-    def too_late(self, ahead: int, mine: int, waiter: waiter_.Waiter) -> bool:
-        """Returns whether a request would not be served in time.
+    def too_late(
+        self, ahead: int, ahead_of_customer: int, waiter: waiter_.Waiter
+    ) -> bool:
+        """Returns whether a request cannot be served by its deadline.
 
-        One that is granted just before its deadline would run for nobody:
-        some of the time that requests take is kept for it to run.
+        Part of the time is kept for the request to run: the caller of a
+        request granted just before its deadline would have given up by the
+        time the answer is ready.
         """
         left = waiter.deadline - trio.current_time()
         if left <= 0:
             return True
-        whole = waiter.deadline - waiter.since
-        service = min(self.rates.service, SERVICE_PART * whole)
-        seconds = self.estimate(ahead, mine, waiter.ask.customer)
+        total = waiter.deadline - waiter.arrived_at
+        service = min(self.rates.service_seconds, MAX_SERVICE_FRACTION * total)
+        seconds = self.estimate(
+            ahead, ahead_of_customer, waiter.request.customer
+        )
         return seconds > 0 and seconds + service > left
 
     def pool_full(
-        self, ahead: int, mine: int, customer: int
+        self, ahead: int, ahead_of_customer: int, customer: int
     ) -> errors.PoolFull:
         """Returns the error for a request with so many before it."""
-        seconds = self.estimate(ahead, mine, customer)
+        seconds = self.estimate(ahead, ahead_of_customer, customer)
         retry_after = max(MIN_RETRY_AFTER_SECONDS, round(seconds, 1))
         return errors.PoolFull(
-            f'{ahead} requests wait before this one', retry_after
+            f'pool is full: {ahead} requests are queued before this one',
+            retry_after,
         )
--- a/lavenderbend/coordination/admission/groups.py
+++ b/lavenderbend/coordination/admission/groups.py
@@ -1,4 +1,4 @@
-"""Groups of upstreams within a pool, the units that have owners."""
+"""Groups of upstreams within a pool; each group has one owner."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
     from lavenderbend.state import configuration
     from lavenderbend.state import upstreams
 
+# the owner and its standby poll the load reports of a group
 REPORTED_OWNERS = 2
 
 
 @attrs.frozen
 class GroupId:
-    """Names a group; the same on all routers.
+    """Id of a group, the same on all routers.
 
     Attributes:
         pool: Short id of the pool.
@@ -38,22 +39,28 @@
 
 
 def owner(group: GroupId, routers: Sequence[str]) -> str:
-    """Returns the router that owns a group, by the given view."""
+    """Returns the owner of a group among the given routers, empty if none."""
     key = f'{group.pool}/{group.index}'
     return hashing.rendezvous(key, routers) or ''
 
 
 def first_owners(group: GroupId, routers: Sequence[str]) -> list[str]:
-    """Returns the owner of a group and who comes after it, if it is lost."""
+    """Returns the owner of a group and the router that would succeed it."""
     key = f'{group.pool}/{group.index}'
     return hashing.rendezvous_order(key, routers)[:REPORTED_OWNERS]
 
 
 def standby(group: GroupId, routers: Sequence[str], name: str) -> str:
-    """Returns who should know what an owner knows, empty for nobody.
+    """Returns the router to replicate an owner's state to, empty for none.
 
-    That is the router that becomes the owner if the present one is lost; for
-    an owner that is no longer first in the order, the one that is.
+    This is the router that becomes the owner if the present one is lost. If
+    the present owner is no longer first in the rendezvous order, it is the
+    router that is.
+
+    Args:
+        group: The group.
+        routers: The live routers.
+        name: The present owner.
     """
     key = f'{group.pool}/{group.index}'
     order = hashing.rendezvous_order(key, routers)
@@ -71,7 +78,7 @@
 
 
 def chat_group(chat: int, indices: Sequence[int]) -> int:
-    """Returns which of some groups to ask first for a chat."""
+    """Returns the index of the group to ask first for a chat."""
     if len(indices) == 1:
         return indices[0]
     names = [str(index) for index in indices]
@@ -79,7 +86,14 @@
 
 
 class Directory:
-    """Names behind short ids, from this router's own view."""
+    """Resolves short ids by this router's view and configuration.
+
+    Attributes:
+        revision: Number of the configuration revision read last.
+        pools: Pools by short id.
+        customers: Customers by short id.
+        indices: Cached group index by pool name, group count and VM id.
+    """
 
     def __init__(
         self,
@@ -94,7 +108,11 @@
         self.indices: dict[tuple[str, int, str], int] = {}
 
     def refresh(self) -> None:
-        """Reads the configuration again if it has changed."""
+        """Reads the configuration again if its revision has changed.
+
+        Raises:
+            NoConfiguration: This router has no configuration yet.
+        """
         revision = self.configurations.current()
         if revision.number == self.revision:
             return
@@ -108,14 +126,14 @@
         self.indices.clear()
 
     def pool(self, pool: int) -> configuration.Pool | None:
-        """Returns the pool of a short id, None if it is not known here."""
+        """Returns the pool of a short id, None if it is not configured."""
         self.refresh()
         return self.pools.get(pool)
 
     def weight(self, customer: int) -> float:
-        """Returns the weight of a customer, 1 if it is not known here."""
-        known = self.customers.get(customer)
-        return known.weight if known is not None else 1.0
+        """Returns the weight of a customer, 1 if it is not configured."""
+        configured = self.customers.get(customer)
+        return configured.weight if configured is not None else 1.0
 
     def upstreams(
         self, pool: configuration.Pool, index: int
@@ -137,7 +155,7 @@
         """Returns the ids of all groups of all pools."""
         self.refresh()
         return [
-            GroupId(number, index)
-            for number, pool in self.pools.items()
+            GroupId(short_id, index)
+            for short_id, pool in self.pools.items()
             for index in range(max(1, pool.groups))
         ]
--- a/lavenderbend/coordination/admission/held.py
+++ b/lavenderbend/coordination/admission/held_permits.py
@@ -1,4 +1,4 @@
-"""Permits that an entry uses."""
+"""Permits that an entry router holds."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 @attrs.frozen
-class Held:
-    """A permit that this entry uses.
+class HeldPermit:
+    """A permit that this entry router holds.
 
     Attributes:
-        number: This entry's number for it.
+        number: This entry router's number for it.
         group: The group of its upstream.
         upstream: VM id.
-        owner: Router that was last told of it.
+        owner: Owner that has this permit in its table, empty if it was
+            granted without an owner and not yet registered.
         granted_at: Router clock.
         customer: Short id of the customer.
     """
--- a/lavenderbend/coordination/admission/live_routers.py
+++ b/lavenderbend/coordination/admission/live_routers.py
@@ -1,4 +1,4 @@
-"""The routers that may be at work, by this router's view of some seconds."""
+"""Routers that are live or were live within the last seconds."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 if TYPE_CHECKING:
     from lavenderbend.coordination import interfaces
 
-# a router that is taken for dead in error may still grant permits, or ask
-# another owner for them
+# How long a lost router still counts: one that is wrongly regarded as dead
+# may still grant permits, or request them from another owner.
 LOST_SECONDS = 10.0
 
 
 class LiveRouters:
-    """The routers that are live, or were a moment ago.
+    """The routers that are live or were live until recently.
 
-    Headroom is shared between routers. By the view alone, each of two that
-    take one another for dead would take the whole.
+    Headroom is shared between routers. By the current view alone, each of
+    two routers that regard the other as dead would use all of it.
 
     Attributes:
         membership: This router's view.
-        seen: Router clock at which each was last in the view.
+        last_seen: Router clock at which each router was last in the view.
     """
 
     def __init__(self, membership: interfaces.Membership) -> None:
         self.membership = membership
-        self.seen: dict[str, float] = {}
+        self.last_seen: dict[str, float] = {}
 
-    def look(self) -> None:
-        """Notes who is live now, and forgets who is lost for long."""
+    def refresh(self) -> None:
+        """Records which routers are live and removes those lost long ago."""
         now = trio.current_time()
         for name in self.membership.region_routers():
-            self.seen[name] = now
-        for name, at in list(self.seen.items()):
-            if at < now - LOST_SECONDS:
-                del self.seen[name]
+            self.last_seen[name] = now
+        for name, seen_at in list(self.last_seen.items()):
+            if seen_at < now - LOST_SECONDS:
+                del self.last_seen[name]
 
     def names(self) -> list[str]:
-        """Returns those that are live, or were a moment ago."""
-        self.look()
-        return sorted(self.seen)
+        """Returns the routers that are live or were live until recently."""
+        self.refresh()
+        return sorted(self.last_seen)
--- a/lavenderbend/coordination/admission/loads.py
+++ b/lavenderbend/coordination/admission/loads.py
@@ -1,4 +1,4 @@
-"""The loads of a group's upstreams and who of them may take a request."""
+"""Loads of a group's upstreams, and which of them may take a request."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import placement
+from lavenderbend.coordination.admission import pool_totals as pool_totals_
 from lavenderbend.coordination.admission import rates
 from lavenderbend.coordination.admission import serving
-from lavenderbend.coordination.admission import sums
-from lavenderbend.coordination.admission import unsure
+from lavenderbend.coordination.admission import unconfirmed
 from lavenderbend.protocol import messages_decisions
 from lavenderbend.state import permits
 from lavenderbend.state import requests
@@ -21,29 +21,33 @@
     from collections.abc import Sequence
 
     from lavenderbend.coordination import interfaces
-    from lavenderbend.coordination.admission import entries
+    from lavenderbend.coordination.admission import entry_tracker
     from lavenderbend.coordination.admission import groups
     from lavenderbend.coordination.admission import settings as settings_
     from lavenderbend.state import configuration
     from lavenderbend.state import placements
     from lavenderbend.state import upstreams
 
-# releases on their way count as load that may have ended
-MIN_UNSEEN = 1.0
-# what load from elsewhere may have fallen by since the report, at least
-FOREIGN_DRIFT = 0.25
-ROUNDING = 1e-9
+# Requests whose releases are in transit: they count as load that may have
+# ended, at least this many.
+MIN_POSSIBLY_ENDED = 1.0
+# least part of the load from other owners that may have ended since the
+# report
+MIN_FOREIGN_ENDED_FRACTION = 0.25
+ROUNDING_TOLERANCE = 1e-9
 
 
 class GroupLoads:
-    """Permits and reports of a group's upstreams.
+    """Live permits and load reports of a group's upstreams.
 
     Attributes:
         table: Live permits joined with reports.
-        rates: How fast permits come back.
-        unsure: Which of them may load nothing.
-        tested: Until when no other suspect is sent to an upstream.
-        tested_chats: Until when a suspect's chat is not sent again.
+        rates: How fast permits are released.
+        unconfirmed: Which live permits may no longer be in use.
+        suspect_until: Owner clock until which no other suspect request is
+            sent to an upstream, by VM id.
+        suspect_chat_until: Owner clock until which a suspect request is not
+            sent again, by chat.
     """
 
     def __init__(
@@ -53,20 +57,22 @@
         directory: groups.Directory,
         membership: interfaces.Membership,
         settings: settings_.AdmissionSettings,
-        askers: entries.Entries,
-        pool_sums: sums.PoolSums,
+        entries: entry_tracker.EntryTracker,
+        pool_totals: pool_totals_.PoolTotals,
     ) -> None:
         self.group = group
         self.directory = directory
         self.membership = membership
         self.settings = settings
-        self.entries = askers
-        self.sums = pool_sums
+        self.entries = entries
+        self.pool_totals = pool_totals
         self.table = permits.PermitTable()
-        self.rates = rates.Rates()
-        self.unsure = unsure.UnsurePermits(name, self.table, askers, self.rates)
-        self.tested: dict[str, float] = {}
-        self.tested_chats: dict[int, float] = {}
+        self.rates = rates.ReleaseRates()
+        self.unconfirmed = unconfirmed.UnconfirmedPermits(
+            name, self.table, entries, self.rates
+        )
+        self.suspect_until: dict[str, float] = {}
+        self.suspect_chat_until: dict[int, float] = {}
 
     def pool(self) -> configuration.Pool:
         """Returns the pool.
@@ -76,11 +82,13 @@
         """
         pool = self.directory.pool(self.group.pool)
         if pool is None:
-            raise errors.NoConfiguration('the owner does not know the pool', 1)
+            raise errors.NoConfiguration(
+                "the pool is not in the owner's configuration", 1
+            )
         return pool
 
     def upstreams(self) -> list[upstreams.Vm]:
-        """Returns the upstreams of the group, their reports joined."""
+        """Returns the group's upstreams, after joining their new reports."""
         vms = self.directory.upstreams(self.pool(), self.group.index)
         for vm in vms:
             report = self.membership.report(vm.id)
@@ -92,45 +100,48 @@
                 self.table.join(vm.id, at, report.load)
         return vms
 
-    def drop_vanished(self) -> list[permits.LivePermit]:
-        """Drops permits that load nothing by what upstreams report.
+    def drop_unused_permits(self) -> list[permits.LivePermit]:
+        """Drops permits that are not in use according to load reports.
 
-        Their releases were lost, or were never meant to come here: counted
-        for ever, they would keep upstreams full.
+        Their releases were lost, or were sent to another owner. Counted for
+        ever, such permits would keep upstreams full.
+
+        Returns:
+            The dropped permits.
         """
         dropped = []
         for vm in self.upstreams():
             seen = self.table.seen.get(vm.id)
             if seen is None:
                 continue
-            found = self.unsure.vanished(vm.id, seen.at, seen.reported)
-            for permit in found:
-                self.unsure.discard(permit)
-            if found:
+            unused = self.unconfirmed.unused(vm.id, seen.at, seen.reported)
+            for permit in unused:
+                self.unconfirmed.discard(permit)
+            if unused:
                 self.table.join(vm.id, seen.at, seen.reported)
-            dropped += found
+            dropped += unused
         return dropped
 
     def load(self, upstream: str, share: float) -> int:
         """Returns the load of an upstream as far as it is known.
 
-        Once all entries have listed their permits to a new owner, what an
-        earlier report shows above them has ended: requests that ended before
-        the lists came. Counted until the next report, it would hide which
-        engines are empty after a time without an owner.
+        When all entry routers have listed their permits to a new owner, any
+        load above them in an earlier report is of requests that ended before
+        the lists arrived. Counted until the next report, it would hide which
+        engines are idle after a period without an owner.
 
         Args:
             upstream: VM id.
-            share: Share of the live entries that ask this owner.
+            share: Fraction of the live routers that use this owner.
         """
         seen = self.table.seen.get(upstream)
-        old = seen is None or seen.at < self.entries.changed_at
-        if share >= 1.0 and old:
+        outdated = seen is None or seen.at < self.entries.last_joined_at
+        if share >= 1.0 and outdated:
             return self.table.own(upstream)
         return self.table.load(upstream)
 
     def names(self) -> dict[int, str]:
-        """Returns VM ids by short id, of all upstreams of the group."""
+        """Returns the VM ids of the group's upstreams by short id."""
         vms = self.directory.upstreams(self.pool(), self.group.index)
         return {messages_decisions.short_id(vm.id): vm.id for vm in vms}
 
@@ -148,14 +159,14 @@
         return messages_decisions.short_id(report.instance)
 
     def candidates(
-        self, ask: messages_decisions.PermitRequest
+        self, request: messages_decisions.PermitRequest
     ) -> list[placement.Candidate]:
         """Returns the upstreams that serve a request's model.
 
         Raises:
-            NoUpstream: There is none that it has not been sent to.
+            NoUpstream: There is none that the request has not been sent to.
         """
-        vms = serving.serving(self.membership, self.upstreams(), ask.model)
+        vms = serving.serving(self.membership, self.upstreams(), request.model)
         short_id = messages_decisions.short_id
         share = self.entries.share()
         candidates = [
@@ -163,14 +174,21 @@
                 upstream=vm.id,
                 instance=self.instance(vm.id),
                 load=self.load(vm.id, share),
-                adapter=self.has_adapter(vm.id, ask.adapter),
-                avoided=bool(ask.avoid) and short_id(vm.id) in ask.avoid,
-                tested=ask.suspect and self.tests_suspect(vm.id, ask.chat),
+                adapter=self.has_adapter(vm.id, request.adapter),
+                avoided=(
+                    bool(request.avoid) and short_id(vm.id) in request.avoid
+                ),
+                runs_suspect=(
+                    request.suspect
+                    and self.suspect_blocked(vm.id, request.chat)
+                ),
             )
             for vm in vms
         ]
         if all(candidate.avoided for candidate in candidates):
-            raise errors.NoUpstream('no upstream of the pool serves this', 1)
+            raise errors.NoUpstream(
+                'no upstream of the pool can serve this request', 1
+            )
         return candidates
 
     def has_adapter(self, upstream: str, adapter: int | None) -> bool:
@@ -183,49 +201,53 @@
         short_id = messages_decisions.short_id
         return any(short_id(name) == adapter for name in report.adapters)
 
-    def tests_suspect(self, upstream: str, chat: int) -> bool:
+    def suspect_blocked(self, upstream: str, chat: int) -> bool:
         """Returns whether a suspect must not be sent to an upstream now.
 
-        When an upstream dies, all that it ran are suspects. Two of them on
-        one further upstream that dies could not be told apart, and an
-        innocent request would be quarantined with the other. And the same
-        request, sent twice at a time, would kill two more.
+        When an upstream dies, all requests that it ran become suspects. If
+        two of them ran on one further upstream that dies, the cause could
+        not be identified, and a harmless request would be quarantined with
+        the other. The same suspect, sent twice at a time, would kill two more
+        upstreams.
         """
         now = trio.current_time()
-        busy = self.tested.get(upstream, 0.0) > now
-        return busy or self.tested_chats.get(chat, 0.0) > now
+        upstream_blocked = self.suspect_until.get(upstream, 0.0) > now
+        return upstream_blocked or self.suspect_chat_until.get(chat, 0.0) > now
 
     def note_suspect(self, upstream: str, chat: int) -> None:
-        """Notes that a suspect was sent to an upstream."""
+        """Records that a suspect was sent to an upstream."""
         now = trio.current_time()
-        self.tested[upstream] = now + self.settings.probation
-        self.tested_chats[chat] = now + self.settings.probation
-        for table in (self.tested, self.tested_chats):
+        self.suspect_until[upstream] = now + self.settings.suspect_interval
+        self.suspect_chat_until[chat] = now + self.settings.suspect_interval
+        for table in (self.suspect_until, self.suspect_chat_until):
             for key in [key for key, until in table.items() if until <= now]:
                 del table[key]
 
     def clear_suspect(self, upstream: str, chat: int) -> None:
-        """Notes that a suspect was not sent there after all."""
-        self.tested.pop(upstream, None)
-        self.tested_chats.pop(chat, None)
+        """Records that a suspect was granted a permit but never sent."""
+        self.suspect_until.pop(upstream, None)
+        self.suspect_chat_until.pop(chat, None)
 
-    def limit_rooms(
+    def limit_headroom(
         self, candidates: list[placement.Candidate], allowed: int
     ) -> None:
-        """Limits what may be added while another owner may be at work.
-
-        Two routers that both take themselves for the owner see each other's
-        grants only in reports, one lag late; each would fill the same
-        headroom and engines would stand far above the bound. So each adds,
-        between two reports, only its share of the headroom of the last one:
-        by the share of the entries that ask it, and of the load that came
-        through it. A new owner adds one at a time until it has a report
-        taken after it took over. The shares add up to the headroom, and
-        rounding up adds at most one for each further owner.
+        """Limits the permits to add while another owner may be active.
+
+        Two routers that both act as the owner see each other's grants only
+        in load reports, one report interval late. Each would fill the same
+        headroom and engines would be far above the bound. So between two
+        reports each owner adds only its share of the headroom of the last
+        report: in proportion to the entry routers that use it, and to the
+        load that was admitted through it. A new owner adds one request at a
+        time until it has a report taken after it became the owner. The shares
+        add up to the headroom, and rounding up adds at most one request for
+        each further owner.
         """
         share = self.entries.share()
-        own = sum(self.table.own(one.upstream) for one in candidates)
-        load = sum(one.load for one in candidates)
+        own = sum(
+            self.table.own(candidate.upstream) for candidate in candidates
+        )
+        load = sum(candidate.load for candidate in candidates)
         if share >= 1.0 and load == own:
             return
         share = min(share, (own + 1) / (load + 1))
@@ -233,109 +255,127 @@
             seen = self.table.seen.get(candidate.upstream)
             if seen is None:
                 continue
-            room = math.ceil(share * (allowed - seen.load) - ROUNDING)
-            if self.is_before_owner(candidate.upstream):
-                room = min(1, room)
-            candidate.room = room - self.table.growth(candidate.upstream)
+            headroom = math.ceil(
+                share * (allowed - seen.load) - ROUNDING_TOLERANCE
+            )
+            if self.predates_ownership(candidate.upstream):
+                headroom = min(1, headroom)
+            candidate.headroom = headroom - self.table.growth(
+                candidate.upstream
+            )
 
     def place(
         self,
-        ask: messages_decisions.PermitRequest,
+        request: messages_decisions.PermitRequest,
         places: Sequence[placements.Place],
         max_load: int,
     ) -> placement.Choice:
         """Chooses an upstream for a request, if one may take it now.
 
         Args:
-            ask: The request.
+            request: The request.
             places: Where its chat's context was.
             max_load: Hard limit of an upstream for it.
 
         Raises:
             NoUpstream: No upstream of the group serves it.
         """
-        candidates = self.candidates(ask)
-        unknown = serving.unknown(self.membership, self.upstreams(), ask.model)
-        allowed = self.allowed(candidates, unknown)
-        self.limit_rooms(candidates, allowed)
-        tried = placement.order(candidates, places, ask.number)
-        return placement.choose(tried, allowed, max_load)
+        candidates = self.candidates(request)
+        unreported = serving.unreported_count(
+            self.membership, self.upstreams(), request.model
+        )
+        allowed = self.allowed(candidates, unreported)
+        self.limit_headroom(candidates, allowed)
+        ordered = placement.order(candidates, places, request.number)
+        return placement.choose(ordered, allowed, max_load)
 
     def allowed(
-        self, candidates: list[placement.Candidate], unknown: int = 0
+        self, candidates: list[placement.Candidate], unreported: int = 0
     ) -> int:
         """Returns the highest load that the bound allows now.
 
         Args:
-            candidates: Who serves the model.
-            unknown: How many further upstreams may serve it.
+            candidates: Upstreams that serve the model.
+            unreported: How many further upstreams may serve it.
         """
         load = sum(candidate.load for candidate in candidates)
-        for one in candidates:
-            if one.avoided:
-                # it may just have died, and what other owners sent there
-                # with it: the report does not show that yet
-                load -= one.load - self.table.own(one.upstream)
-        others = self.sums.others(self.group.pool, self.group.index)
-        elsewhere = sum(item.load for item in others.values())
-        engines = sum(item.engines for item in others.values())
-        unseen = MIN_UNSEEN + self.rates.rate * self.settings.flight
-        unseen += sums.DRIFT * elsewhere
-        load -= self.unsure.count()
-        ended = self.ended_elsewhere(candidates)
-        if any(self.is_before_owner(one.upstream) for one in candidates):
-            # what the owner before granted and took back is not known: by the
-            # mean of such reports one more request would go to each upstream
-            load -= round(ended)
+        for candidate in candidates:
+            if candidate.avoided:
+                # It may just have died, and with it the requests that other
+                # owners sent there: the report does not show that yet.
+                load -= candidate.load - self.table.own(candidate.upstream)
+        other_groups = self.pool_totals.others(
+            self.group.pool, self.group.index
+        )
+        other_load = sum(total.load for total in other_groups.values())
+        engines = sum(total.engines for total in other_groups.values())
+        possibly_ended = (
+            MIN_POSSIBLY_ENDED + self.rates.rate * self.settings.release_delay
+        )
+        possibly_ended += pool_totals_.ENDED_FRACTION * other_load
+        load -= self.unconfirmed.count()
+        foreign_ended = self.foreign_load_ended(candidates)
+        if any(
+            self.predates_ownership(candidate.upstream)
+            for candidate in candidates
+        ):
+            # What the previous owner granted and got back since is not known:
+            # by the mean of such reports each upstream would get one request
+            # too many.
+            load -= round(foreign_ended)
         else:
-            unseen += ended
+            possibly_ended += foreign_ended
         return placement.allowed_load(
             self.pool(),
-            load + elsewhere,
-            len(candidates) + unknown + engines,
-            unseen,
+            load + other_load,
+            len(candidates) + unreported + engines,
+            possibly_ended,
         )
 
-    def is_before_owner(self, upstream: str) -> bool:
-        """Returns whether a report is older than this router as the owner."""
+    def predates_ownership(self, upstream: str) -> bool:
+        """Returns whether a report is from before this router was owner."""
         seen = self.table.seen.get(upstream)
         return seen is not None and seen.at < self.entries.active_since
 
-    def ended_elsewhere(self, candidates: list[placement.Candidate]) -> float:
-        """Returns how much load of other owners may have ended by now.
+    def foreign_load_ended(
+        self, candidates: list[placement.Candidate]
+    ) -> float:
+        """Returns how much load from other owners may have ended by now.
 
         Args:
-            candidates: Who serves the model.
+            candidates: Upstreams that serve the model.
         """
         return sum(
-            self.ended_part(one.upstream)
-            * (one.load - self.table.own(one.upstream))
-            for one in candidates
-            if not one.avoided
+            self.ended_fraction(candidate.upstream)
+            * (candidate.load - self.table.own(candidate.upstream))
+            for candidate in candidates
+            if not candidate.avoided
         )
 
-    def ended_part(self, upstream: str) -> float:
-        """Returns the part of a report's requests that may have ended."""
+    def ended_fraction(self, upstream: str) -> float:
+        """Returns the fraction of a report's requests that may have ended."""
         seen = self.table.seen.get(upstream)
-        service = self.rates.service
+        service_seconds = self.rates.service_seconds
         if seen is None:
-            return FOREIGN_DRIFT
-        if service <= 0:
-            # an owner that has just become one knows of no end yet
+            return MIN_FOREIGN_ENDED_FRACTION
+        if service_seconds <= 0:
+            # a new owner has not received any release yet
             return 1.0
         age = trio.current_time() - seen.at
-        return max(FOREIGN_DRIFT, 1.0 - math.exp(-age / service))
+        return max(
+            MIN_FOREIGN_ENDED_FRACTION, 1.0 - math.exp(-age / service_seconds)
+        )
 
     def max_load(self, priority: int, over: bool) -> int:
         """Returns the hard limit of an upstream for some requests.
 
-        Instant requests must not wait for others to finish, and customers
-        below their fair share not for those that surge: a part of every
-        upstream is kept for each.
+        Instant requests must not wait for others to finish, nor customers
+        below their fair share for those above theirs: part of every
+        upstream's capacity is reserved for each.
 
         Args:
             priority: Priority of the request.
-            over: Whether its customer has its fair share already.
+            over: Whether its customer has reached its fair share.
         """
         pool = self.pool()
         if priority == requests.Priority.INSTANT:
@@ -346,6 +386,6 @@
         return pool.max_load - reserve
 
     def slots(self) -> int:
-        """Returns what the upstreams run of customers over their share."""
+        """Returns the requests that may run of customers over their share."""
         vms = self.directory.upstreams(self.pool(), self.group.index)
         return len(vms) * self.max_load(requests.Priority.NORMAL, True)
--- a/lavenderbend/coordination/admission/owned.py
+++ b/lavenderbend/coordination/admission/owned.py
@@ -1,4 +1,4 @@
-"""One group of upstreams as its owner sees it."""
+"""State of one group of upstreams at its owner."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.admission import copies
-from lavenderbend.coordination.admission import entries
-from lavenderbend.coordination.admission import leaving
+from lavenderbend.coordination.admission import context_moves
+from lavenderbend.coordination.admission import entry_tracker
+from lavenderbend.coordination.admission import group_redirects
 from lavenderbend.coordination.admission import loads
+from lavenderbend.coordination.admission import place_replication
+from lavenderbend.coordination.admission import request_queue
 from lavenderbend.coordination.admission import shares
-from lavenderbend.coordination.admission import spread
-from lavenderbend.coordination.admission import waiting
 from lavenderbend.state import permits
 from lavenderbend.state import placements
 
@@ -22,22 +22,23 @@
     from lavenderbend.coordination import interfaces
     from lavenderbend.coordination.admission import groups
     from lavenderbend.coordination.admission import live_routers
+    from lavenderbend.coordination.admission import pool_totals as pool_totals_
     from lavenderbend.coordination.admission import settings as settings_
-    from lavenderbend.coordination.admission import sums
     from lavenderbend.coordination.admission import waiter as waiter_
     from lavenderbend.protocol import messages_decisions
 
-# a grant may still be on its way to the entry when the entry lists its
-# permits: such a permit must not be taken for a leaked one
+# A grant may still be in transit when the entry router lists its permits: a
+# permit granted more recently than this does not count as leaked.
 GRANT_IN_FLIGHT_SECONDS = 3.0
 
 
 class OwnedGroup:
-    """Permits, places and waiting requests of one group.
+    """Permits, places and queued requests of one group.
 
     Attributes:
-        freed: Entries whose permits were freed because they left the view,
-            and that were not asked since to list what they hold.
+        freed_entries: Entry routers whose permits were freed because they
+            left the view, and that have not been asked since then to list
+            the permits they hold.
     """
 
     def __init__(
@@ -48,12 +49,14 @@
         membership: interfaces.Membership,
         routers: live_routers.LiveRouters,
         settings: settings_.AdmissionSettings,
-        pool_sums: sums.PoolSums,
+        pool_totals: pool_totals_.PoolTotals,
         cache_client: cache_transfer.CacheClient | None = None,
     ) -> None:
         self.group = group
-        self.entries = entries.Entries(membership, routers, settings.heard)
-        self.freed: set[str] = set()
+        self.entries = entry_tracker.EntryTracker(
+            membership, routers, settings.entry_timeout
+        )
+        self.freed_entries: set[str] = set()
         self.loads = loads.GroupLoads(
             name,
             group,
@@ -61,94 +64,112 @@
             membership,
             settings,
             self.entries,
-            pool_sums,
+            pool_totals,
         )
         self.table = self.loads.table
-        self.unsure = self.loads.unsure
+        self.unconfirmed = self.loads.unconfirmed
         self.places = placements.Placements(settings.chats)
         self.shares = shares.FairShares(directory)
-        self.room = waiting.WaitingRoom(
+        self.queue = request_queue.RequestQueue(
             self.loads, self.places, self.shares, settings
         )
-        self.spread = spread.Spread(self.loads, self.places, settings.chats)
-        self.copies = copies.Copies(group, self.places)
-        self.leaving = leaving.Leaving(
+        self.redirects = group_redirects.GroupRedirects(
+            self.loads, self.places, settings.chats
+        )
+        self.replication = place_replication.PlaceReplication(
+            group, self.places
+        )
+        self.context_mover = context_moves.ContextMover(
             self.loads, self.places, cache_client, settings.transfer
         )
 
-    def hear(self, entry: str) -> bool:
-        """Notes a sign that an entry takes this router for the owner.
+    def note_contact(self, entry: str) -> bool:
+        """Records that an entry router regards this router as the owner.
 
-        Returns whether the entry should list its permits: it was taken for
-        dead and is not. What it holds still loads the engines, and it would
-        list that only when its heartbeats have differed, seconds later.
+        Returns:
+            Whether the entry router should list its permits: it was wrongly
+            regarded as dead. The requests of its permits still load the
+            engines, and it would list the permits only when its heartbeats
+            have differed, seconds later.
         """
-        if self.entries.hear(entry):
+        if self.entries.note_contact(entry):
             self.places.fresh.clear()
-        return self.take_freed(entry)
+        return self.pop_freed(entry)
 
-    def take_freed(self, entry: str) -> bool:
-        """Returns whether an entry's permits were freed, once."""
-        freed = entry in self.freed
-        self.freed.discard(entry)
+    def pop_freed(self, entry: str) -> bool:
+        """Returns whether an entry router's permits were freed, and resets.
+
+        Further calls return False until its permits are freed again.
+        """
+        freed = entry in self.freed_entries
+        self.freed_entries.discard(entry)
         return freed
 
     def submit(self, waiter: waiter_.Waiter) -> None:
-        """Grants, refuses, queues or sends on a new request."""
-        waiter.elsewhere = self.spread.settled(waiter.ask)
-        if waiter.elsewhere is not None:
+        """Grants, refuses, queues or redirects a new request."""
+        waiter.redirect_group = self.redirects.for_new_chat(waiter.request)
+        if waiter.redirect_group is not None:
             waiter.done.set()
             return
         try:
-            if self.room.try_now(waiter):
+            if self.queue.try_grant(waiter):
                 return
         except errors.NoUpstream as exc:
-            waiter.nobody = self.loads.pool().groups > 1
-            if waiter.nobody:
+            waiter.unserved = self.loads.pool().groups > 1
+            if waiter.unserved:
                 waiter.done.set()
             else:
-                self.room.refuse(waiter, exc)
+                self.queue.refuse(waiter, exc)
             return
         except errors.RequestError as exc:
-            self.room.refuse(waiter, exc)
+            self.queue.refuse(waiter, exc)
             return
-        waiter.elsewhere = self.spread.elsewhere(waiter.ask)
-        if waiter.elsewhere is not None:
+        waiter.redirect_group = self.redirects.for_full_group(waiter.request)
+        if waiter.redirect_group is not None:
             waiter.done.set()
             return
-        self.room.enqueue(waiter)
+        self.queue.enqueue(waiter)
 
     def release(self, entry: str, number: int, unused: bool = False) -> bool:
-        """Takes a permit back, or a waiting request out; whether it had."""
-        waiter = self.room.waiting.get((entry, number))
+        """Releases a permit, or removes a waiting request.
+
+        Args:
+            entry: The entry router.
+            number: Its number for the permit.
+            unused: Whether nothing was sent with the permit.
+
+        Returns:
+            Whether there was such a permit.
+        """
+        waiter = self.queue.waiting.get((entry, number))
         if waiter is not None:
-            self.room.forget(waiter)
+            self.queue.remove(waiter)
         permit = self.table.remove(entry, number, trio.current_time())
         if permit is None:
             return False
         self.shares.live[permit.customer] -= 1
         if not unused:
-            self.loads.rates.note(permit)
+            self.loads.rates.note_release(permit)
         elif permit.suspect_chat is not None:
             self.loads.clear_suspect(permit.upstream, permit.suspect_chat)
         return True
 
-    def look_after(self) -> None:
-        """Serves and expires those that wait; called at every tick."""
-        self.loads.rates.measure()
-        for permit in self.loads.drop_vanished():
+    def tick(self) -> None:
+        """Updates the rates, drops unused permits, serves the queue."""
+        self.loads.rates.update()
+        for permit in self.loads.drop_unused_permits():
             self.shares.live[permit.customer] -= 1
-        if self.room.waiting:
-            self.room.dispatch()
-            self.room.expire()
+        if self.queue.waiting:
+            self.queue.dispatch()
+            self.queue.expire()
 
     def register(
-        self, entry: str, item: messages_decisions.PermitRegister
+        self, entry: str, message: messages_decisions.PermitRegister
     ) -> None:
-        """Takes over the live permits that an entry lists."""
-        self.hear(entry)
+        """Registers the live permits that an entry router lists."""
+        self.note_contact(entry)
         now = trio.current_time()
-        listed = set(item.numbers)
+        listed = set(message.numbers)
         for number in list(self.table.numbers.get(entry, ())):
             permit = self.table.get(entry, number)
             if number in listed or permit is None:
@@ -157,40 +178,46 @@
                 self.release(entry, number)
         names = self.loads.names()
         rows = zip(
-            item.numbers, item.upstreams, item.ages, item.customers,
-            strict=False,
+            message.numbers, message.upstreams, message.ages,
+            message.customers, strict=False,
         )  # fmt: skip
         for number, upstream, age, customer in rows:
             name = names.get(upstream)
             if name is None or self.table.get(entry, number) is not None:
                 continue
-            at = now - age / 10
+            granted_at = now - age / 10
             permit = permits.LivePermit(
-                entry, number, name, at, customer=customer
+                entry, number, name, granted_at, customer=customer
             )
             self.table.add(permit)
             self.shares.live[customer] += 1
-        # the permits were live when the last reports were taken: joined
-        # anew, they no longer count as load that came from elsewhere
+        # The permits were live when the last reports were taken: after a new
+        # join they no longer count as load from other owners.
         self.table.seen.clear()
 
     def check_digest(self, entry: str, count: int, digest: int) -> bool:
-        """Returns whether an entry should list its permits."""
-        freed = self.hear(entry)
-        self.unsure.note_held(entry, count)
+        """Returns whether an entry router should list its permits.
+
+        Args:
+            entry: The entry router.
+            count: How many permits it holds.
+            digest: Digest of their numbers.
+        """
+        freed = self.note_contact(entry)
+        self.unconfirmed.note_held(entry, count)
         equal = self.table.digest(entry) == (count, digest)
         return self.entries.compare(entry, equal) or freed
 
     def drop_entry(self, entry: str) -> None:
-        """Frees all permits of an entry that is gone."""
+        """Frees the permits of an entry router that left the view."""
         for number in list(self.table.numbers.get(entry, ())):
             self.release(entry, number)
-            self.freed.add(entry)
-        for waiter in list(self.room.waiting.values()):
+            self.freed_entries.add(entry)
+        for waiter in list(self.queue.waiting.values()):
             if waiter.entry == entry:
-                self.room.forget(waiter)
-        self.entries.drop(entry)
+                self.queue.remove(waiter)
+        self.entries.remove(entry)
 
-    def learn_places(self, item: messages_decisions.PlacesCopy) -> None:
-        """Notes places that another owner copied here."""
-        self.copies.learn(item, self.loads.names())
+    def store_places(self, message: messages_decisions.PlacesCopy) -> None:
+        """Stores places that another owner replicated to this router."""
+        self.replication.store(message, self.loads.names())
--- a/lavenderbend/coordination/admission/owner.py
+++ b/lavenderbend/coordination/admission/owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of admission: answers entries' messages."""
+"""The owner's part of admission: answers messages of entry routers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lavenderbend.coordination import placement
 from lavenderbend.coordination.admission import groups
 from lavenderbend.coordination.admission import owned
-from lavenderbend.coordination.admission import sums
+from lavenderbend.coordination.admission import pool_totals
 from lavenderbend.coordination.admission import waiter as waiter_
 from lavenderbend.protocol import messages_decisions
 
@@ -23,19 +23,26 @@
     from lavenderbend.protocol import peer
 
 MILLISECOND = 0.001
-COPY_SECONDS = 1.0
+REPLICATION_INTERVAL_SECONDS = 1.0
 
-# a router that has just started is taken for the owner before it has heard
-# of a configuration, and one that is cut off may have to refuse; what its
-# tasks do by the clock then waits, and must not end the process
-UNCONFIGURED = contextlib.suppress(errors.RequestError)
+# Other routers may regard a router that has just started as the owner before
+# it has received a configuration, and a router that is cut off may have to
+# refuse requests. Periodic tasks then skip a round: such an error must not
+# end the process.
+SKIP_REQUEST_ERRORS = contextlib.suppress(errors.RequestError)
 
 
 class Owner:
-    """Serves any group that entries take this router to own.
+    """Serves every group that entry routers regard this router as owner of.
 
-    Whether it is the owner by its own view does not matter: views differ
-    for seconds, and `OwnedGroup.limit_rooms` keeps two owners safe.
+    It does not check whether it is the owner by its own view: views differ
+    for seconds, and `GroupLoads.limit_headroom` keeps the bound while there
+    are two owners.
+
+    Attributes:
+        created: Set when a group is added to `owned`.
+        pool_totals: Load totals of the pools' groups.
+        owned: State of each group.
     """
 
     def __init__(
@@ -55,7 +62,7 @@
         self.settings = settings
         self.created = trio.Event()
         self.routers = routers
-        self.sums = sums.PoolSums()
+        self.pool_totals = pool_totals.PoolTotals()
         self.cache_client = cache_client
         self.owned: dict[groups.GroupId, owned.OwnedGroup] = {}
         link.handle(messages_decisions.PermitRequest, self.on_request)
@@ -65,10 +72,10 @@
         link.handle(messages_decisions.PermitDigest, self.on_digest)
         link.handle(messages_decisions.PlacesCopy, self.on_places)
         link.handle(messages_decisions.PermitPoll, self.on_poll)
-        link.handle(messages_decisions.GroupSums, self.on_sums)
+        link.handle(messages_decisions.GroupSums, self.on_totals)
 
     def group(self, pool: int, index: int) -> owned.OwnedGroup:
-        """Returns the state of a group, made when first asked for."""
+        """Returns the state of a group, created on first use."""
         group = groups.GroupId(pool, index)
         if group not in self.owned:
             self.owned[group] = owned.OwnedGroup(
@@ -78,73 +85,82 @@
                 self.membership,
                 self.routers,
                 self.settings,
-                self.sums,
+                self.pool_totals,
                 self.cache_client,
             )
             self.created.set()
         return self.owned[group]
 
-    def hear(self, group: owned.OwnedGroup, entry: str) -> None:
-        """Notes a sign of an entry, and asks what it holds if need be."""
-        if group.hear(entry):
-            self.ask_list(group, entry)
+    def note_contact(self, group: owned.OwnedGroup, entry: str) -> None:
+        """Records a message; asks for the sender's permits if necessary."""
+        if group.note_contact(entry):
+            self.request_resync(group, entry)
 
-    def ask_list(self, group: owned.OwnedGroup, entry: str) -> None:
-        """Asks an entry to list its permits of a group."""
-        name = group.group
-        item = messages_decisions.PermitResync(name.pool, name.index)
-        self.link.notify(entry, item)
+    def request_resync(self, group: owned.OwnedGroup, entry: str) -> None:
+        """Asks an entry router to list its permits of a group."""
+        group_id = group.group
+        message = messages_decisions.PermitResync(group_id.pool, group_id.index)
+        self.link.notify(entry, message)
 
     async def on_request(
-        self, entry: str, item: peer.Message
+        self, entry: str, message: peer.Message
     ) -> peer.Message | None:
         """Answers a permit request."""
-        assert isinstance(item, messages_decisions.PermitRequest)
-        group = self.group(item.pool, item.group)
-        self.hear(group, entry)
-        group.unsure.note_held(entry, item.held)
-        live = group.table.get(entry, item.number)
+        assert isinstance(message, messages_decisions.PermitRequest)
+        group = self.group(message.pool, message.group)
+        self.note_contact(group, entry)
+        group.unconfirmed.note_held(entry, message.held)
+        live = group.table.get(entry, message.number)
         if live is not None:
-            # asked again because the first answer was lost: another permit
-            # would count the request twice
+            # The request was sent again because the first answer was lost:
+            # another permit would count it twice.
             return self.answer(placement.Choice(live.upstream))
-        waiter = group.room.waiting.get((entry, item.number))
+        waiter = group.queue.waiting.get((entry, message.number))
         now = trio.current_time()
         if waiter is None:
-            deadline = now + item.left * MILLISECOND
-            waiter = waiter_.Waiter(entry, item, deadline, now, now)
+            deadline = now + message.left * MILLISECOND
+            waiter = waiter_.Waiter(entry, message, deadline, now, now)
             group.submit(waiter)
-        return await self.wait(group, waiter, item.hold)
+        return await self.wait(group, waiter, message.hold)
 
     async def on_poll(
-        self, entry: str, item: peer.Message
+        self, entry: str, message: peer.Message
     ) -> peer.Message | None:
-        """Answers how a waiting request stands."""
-        assert isinstance(item, messages_decisions.PermitPoll)
-        group = self.group(item.pool, item.group)
-        self.hear(group, entry)
-        live = group.table.get(entry, item.number)
+        """Answers a poll about a queued request.
+
+        Raises:
+            NotWaiting: The request is not queued here.
+        """
+        assert isinstance(message, messages_decisions.PermitPoll)
+        group = self.group(message.pool, message.group)
+        self.note_contact(group, entry)
+        live = group.table.get(entry, message.number)
         if live is not None:
             return self.answer(placement.Choice(live.upstream))
-        waiter = group.room.waiting.get((entry, item.number))
+        waiter = group.queue.waiting.get((entry, message.number))
         if waiter is None:
-            # forgotten here, by a restart or for want of polls: the entry
-            # must ask anew or it would poll until its deadline
-            raise errors.NotWaiting('no such request waits here')
-        return await self.wait(group, waiter, item.hold)
+            # It was lost in a restart or removed because it was not polled.
+            # The entry router must send a new request, or it would poll until
+            # its deadline.
+            raise errors.NotWaiting('no request with this number is queued')
+        return await self.wait(group, waiter, message.hold)
 
     async def wait(
         self, group: owned.OwnedGroup, waiter: waiter_.Waiter, hold: int
     ) -> peer.Message:
-        """Waits for a decision as long as the entry allows."""
-        waiter.polled = trio.current_time()
+        """Waits up to `hold` milliseconds for a decision.
+
+        Raises:
+            RequestError: The request was refused.
+        """
+        waiter.polled_at = trio.current_time()
         with trio.move_on_after(hold * MILLISECOND):
             await waiter.done.wait()
-        waiter.polled = trio.current_time()
+        waiter.polled_at = trio.current_time()
         if waiter.error is not None:
             raise waiter.error
-        if waiter.elsewhere is not None or waiter.nobody:
-            return messages_decisions.PermitElsewhere(waiter.elsewhere)
+        if waiter.redirect_group is not None or waiter.unserved:
+            return messages_decisions.PermitElsewhere(waiter.redirect_group)
         if waiter.choice is None:
             return messages_decisions.PermitWaiting()
         return self.answer(waiter.choice)
@@ -162,155 +178,164 @@
             passed_over,
         )
 
-    async def on_release(self, entry: str, item: peer.Message) -> None:
-        """Takes permits back and serves who waits."""
-        assert isinstance(item, messages_decisions.PermitRelease)
+    async def on_release(self, entry: str, message: peer.Message) -> None:
+        """Releases permits and serves queued requests."""
+        assert isinstance(message, messages_decisions.PermitRelease)
         for group in self.owned.values():
-            for number in item.numbers:
-                group.release(entry, number, item.unused)
-            if group.room.waiting:
-                group.room.dispatch()
-
-    async def on_register(self, entry: str, item: peer.Message) -> None:
-        """Takes over an entry's live permits."""
-        assert isinstance(item, messages_decisions.PermitRegister)
-        self.group(item.pool, item.group).register(entry, item)
-
-    async def on_moved(self, entry: str, item: peer.Message) -> None:
-        """Notes that an entry asks another owner from now on."""
-        assert isinstance(item, messages_decisions.PermitMoved)
-        self.group(item.pool, item.group).entries.move(entry)
-
-    async def on_digest(self, entry: str, item: peer.Message) -> None:
-        """Compares an entry's sums with this owner's."""
-        assert isinstance(item, messages_decisions.PermitDigest)
+            for number in message.numbers:
+                group.release(entry, number, message.unused)
+            if group.queue.waiting:
+                group.queue.dispatch()
+
+    async def on_register(self, entry: str, message: peer.Message) -> None:
+        """Registers an entry router's live permits."""
+        assert isinstance(message, messages_decisions.PermitRegister)
+        self.group(message.pool, message.group).register(entry, message)
+
+    async def on_moved(self, entry: str, message: peer.Message) -> None:
+        """Records that an entry router now uses another owner."""
+        assert isinstance(message, messages_decisions.PermitMoved)
+        self.group(message.pool, message.group).entries.note_moved(entry)
+
+    async def on_digest(self, entry: str, message: peer.Message) -> None:
+        """Compares an entry router's digests with this owner's."""
+        assert isinstance(message, messages_decisions.PermitDigest)
         rows = zip(
-            item.pools, item.groups, item.counts, item.digests, strict=False
-        )
+            message.pools, message.groups, message.counts, message.digests,
+            strict=False,
+        )  # fmt: skip
         for pool, index, count, digest in rows:
             group = self.group(pool, index)
             if group.check_digest(entry, count, digest):
-                self.ask_list(group, entry)
+                self.request_resync(group, entry)
 
-    async def on_places(self, router: str, item: peer.Message) -> None:
-        """Notes the places that another owner copied here."""
-        assert isinstance(item, messages_decisions.PlacesCopy)
-        self.group(item.pool, item.group).learn_places(item)
+    async def on_places(self, router: str, message: peer.Message) -> None:
+        """Stores the places that another owner replicated here."""
+        assert isinstance(message, messages_decisions.PlacesCopy)
+        self.group(message.pool, message.group).store_places(message)
 
     async def run(self) -> None:
-        """Looks after those that wait and after entries that left."""
+        """Runs the periodic tasks of all owned groups."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.run_ticks)
-            nursery.start_soon(self.run_views)
-            nursery.start_soon(self.run_copies)
-            nursery.start_soon(self.run_sums)
+            nursery.start_soon(self.run_view_changes)
+            nursery.start_soon(self.run_replication)
+            nursery.start_soon(self.run_totals)
             nursery.start_soon(self.run_groups, nursery)
 
     async def run_groups(self, nursery: trio.Nursery) -> None:
-        """Starts the task of each new group."""
+        """Starts the tasks of each new group."""
         started: set[groups.GroupId] = set()
         while True:
-            for name, group in list(self.owned.items()):
-                if name not in started:
-                    started.add(name)
-                    nursery.start_soon(group.room.patience.run)
-                    nursery.start_soon(self.run_leaving, group)
+            for group_id, group in list(self.owned.items()):
+                if group_id not in started:
+                    started.add(group_id)
+                    nursery.start_soon(group.queue.locality_wait.run)
+                    nursery.start_soon(self.run_context_moves, group)
             await self.created.wait()
             self.created = trio.Event()
 
-    async def run_leaving(self, group: owned.OwnedGroup) -> None:
+    async def run_context_moves(self, group: owned.OwnedGroup) -> None:
         """Moves contexts off the upstreams that leave a group."""
         while True:
             try:
-                await group.leaving.look()
+                await group.context_mover.move_departed()
             except errors.NoConfiguration:
                 pass
             await self.membership.wait_changed()
 
     async def run_ticks(self) -> None:
-        """Serves and expires waiting requests."""
+        """Serves and expires queued requests periodically."""
         while True:
-            await trio.sleep(self.settings.tick)
-            with UNCONFIGURED:
+            await trio.sleep(self.settings.tick_interval)
+            with SKIP_REQUEST_ERRORS:
                 for group in list(self.owned.values()):
-                    group.look_after()
+                    group.tick()
 
-    async def run_views(self) -> None:
-        """Frees the permits of entries that left, asks those that came back."""
+    async def run_view_changes(self) -> None:
+        """Updates the groups when the view of live routers changes.
+
+        Frees the permits of entry routers that left the view, and asks those
+        that returned to list theirs.
+        """
         while True:
-            self.routers.look()
+            self.routers.refresh()
             await self.membership.wait_changed()
             live = set(self.membership.region_routers())
             for group in list(self.owned.values()):
                 for entry in sorted(set(group.table.numbers) - live):
                     group.drop_entry(entry)
-                for entry in sorted(group.freed & live):
-                    group.take_freed(entry)
-                    self.ask_list(group, entry)
-                with UNCONFIGURED:
-                    group.room.dispatch()
-
-    async def on_sums(self, router: str, item: peer.Message) -> None:
-        """Notes the load of other groups."""
-        assert isinstance(item, messages_decisions.GroupSums)
-        rows = zip(item.groups, item.loads, item.engines, strict=False)
+                for entry in sorted(group.freed_entries & live):
+                    group.pop_freed(entry)
+                    self.request_resync(group, entry)
+                with SKIP_REQUEST_ERRORS:
+                    group.queue.dispatch()
+
+    async def on_totals(self, router: str, message: peer.Message) -> None:
+        """Stores the load totals of other groups."""
+        assert isinstance(message, messages_decisions.GroupSums)
+        rows = zip(message.groups, message.loads, message.engines, strict=False)
         for index, load, engines in rows:
-            self.sums.put(item.pool, index, load, engines)
+            self.pool_totals.put(message.pool, index, load, engines)
 
-    async def run_sums(self) -> None:
-        """Tells the owners of a pool's groups of each other's load."""
+    async def run_totals(self) -> None:
+        """Sends load totals to the owners of the same pool's groups."""
         while True:
-            await trio.sleep(sums.SUMS_SECONDS)
-            with UNCONFIGURED:
-                for item, routers in self.sums_to_tell():
+            await trio.sleep(pool_totals.SEND_INTERVAL_SECONDS)
+            with SKIP_REQUEST_ERRORS:
+                for message, routers in self.totals_to_send():
                     for router in routers:
-                        self.link.notify(router, item)
+                        self.link.notify(router, message)
 
-    def sums_to_tell(
+    def totals_to_send(
         self,
     ) -> list[tuple[messages_decisions.GroupSums, list[str]]]:
-        """Returns the sums of each pool's own groups, and whom to tell."""
+        """Returns the totals of each pool's own groups, with the receivers."""
         routers = self.membership.region_routers()
-        items: dict[int, messages_decisions.GroupSums] = {}
-        for name, group in self.owned.items():
-            if groups.owner(name, routers) != self.name:
+        messages: dict[int, messages_decisions.GroupSums] = {}
+        for group_id, group in self.owned.items():
+            if groups.owner(group_id, routers) != self.name:
                 continue
-            pool = self.directory.pool(name.pool)
+            pool = self.directory.pool(group_id.pool)
             if pool is None or pool.groups <= 1:
                 continue
             load, engines = group.loads.total()
-            item = items.setdefault(
-                name.pool, messages_decisions.GroupSums(name.pool, [], [], [])
+            message = messages.setdefault(
+                group_id.pool,
+                messages_decisions.GroupSums(group_id.pool, [], [], []),
             )
-            item.groups.append(name.index)
-            item.loads.append(load)
-            item.engines.append(engines)
+            message.groups.append(group_id.index)
+            message.loads.append(load)
+            message.engines.append(engines)
         return [
-            (item, self.owners_of(pool, routers))
-            for pool, item in items.items()
+            (message, self.owners_of(pool_id, routers))
+            for pool_id, message in messages.items()
         ]
 
-    def owners_of(self, pool: int, routers: tuple[str, ...]) -> list[str]:
+    def owners_of(self, pool_id: int, routers: tuple[str, ...]) -> list[str]:
         """Returns the owners of a pool's groups."""
-        known = self.directory.pool(pool)
-        count = known.groups if known is not None else 0
+        pool = self.directory.pool(pool_id)
+        count = pool.groups if pool is not None else 0
         owners = {
-            groups.owner(groups.GroupId(pool, index), routers)
+            groups.owner(groups.GroupId(pool_id, index), routers)
             for index in range(count)
         }
         return sorted(owners)
 
-    async def run_copies(self) -> None:
-        """Copies places to the standby of each group.
+    async def run_replication(self) -> None:
+        """Replicates places to the standby of each group.
 
-        An owner that is lost takes its table with it; every returning chat
-        would go where there is room, and its context would be lost.
+        An owner that is lost takes its table with it. Without a replica,
+        every returning chat would be placed where there is headroom, and its
+        context would be lost.
         """
         while True:
-            await trio.sleep(COPY_SECONDS)
+            await trio.sleep(REPLICATION_INTERVAL_SECONDS)
             routers = self.membership.region_routers()
-            # one standby that does not answer must not hold up the others
+            # a standby that does not answer must not delay the others
             async with trio.open_nursery() as nursery:
                 for group in list(self.owned.values()):
                     standby = groups.standby(group.group, routers, self.name)
-                    nursery.start_soon(group.copies.send, self.link, standby)
+                    nursery.start_soon(
+                        group.replication.send, self.link, standby
+                    )
--- a/lavenderbend/coordination/admission/copies.py
+++ b/lavenderbend/coordination/admission/place_replication.py
@@ -1,4 +1,4 @@
-"""Copies of where chats are, from an owner to its standby."""
+"""Replication of chat places from an owner to its standby."""
 
 from __future__ import annotations
 
@@ -12,14 +12,21 @@
     from lavenderbend.coordination import interfaces
     from lavenderbend.coordination.admission import groups
 
-# for each second; about 800 bytes, while a table is copied for the first time
-COPIED_CHATS = 120
-# of a standby, which takes the places in memory
-ANSWER_SECONDS = 1.0
+# Chats in one message. One message a second is sent, of about 800 bytes
+# while a whole table is replicated for the first time.
+MAX_CHATS_PER_MESSAGE = 120
+# The standby only updates a table in memory before it answers.
+ANSWER_TIMEOUT_SECONDS = 1.0
 
 
-class Copies:
-    """What the standby of one group has been told."""
+class PlaceReplication:
+    """Replicates the chat places of one group to its standby.
+
+    Attributes:
+        group: The group.
+        places: Places of the group's chats.
+        standby: Router that the places were last sent to, empty for none.
+    """
 
     def __init__(
         self, group: groups.GroupId, places: placements.Placements
@@ -29,17 +36,19 @@
         self.standby = ''
 
     async def send(self, link: interfaces.PeerLink, standby: str) -> None:
-        """Tells the standby the next places that it lacks, if any."""
+        """Sends the standby the next places that it lacks, if any."""
         if standby != self.standby:
             self.standby = standby
             self.places.resend()
-        rows = self.places.next_unsent(COPIED_CHATS)
+        rows = self.places.next_unsent(MAX_CHATS_PER_MESSAGE)
         if not rows or not standby:
             return
         try:
-            await link.request(standby, self.message(rows), ANSWER_SECONDS)
+            await link.request(
+                standby, self.message(rows), ANSWER_TIMEOUT_SECONDS
+            )
         except errors.PeerError:
-            # not known to have come: they stay the next to be sent
+            # delivery is not confirmed: the same rows are sent again
             return
         if standby == self.standby:
             self.places.note_sent(rows)
@@ -47,7 +56,7 @@
     def message(
         self, rows: list[tuple[int, placements.Place]]
     ) -> messages_decisions.PlacesCopy:
-        """Returns the message of some chats and their places."""
+        """Returns the message for some chats and their places."""
         places = list(dict.fromkeys(place for _, place in rows))
         positions = {place: index for index, place in enumerate(places)}
         short_id = messages_decisions.short_id
@@ -60,12 +69,14 @@
             [positions[place] for _, place in rows],
         )
 
-    def learn(
-        self, item: messages_decisions.PlacesCopy, names: dict[int, str]
+    def store(
+        self,
+        message: messages_decisions.PlacesCopy,
+        upstream_names: dict[int, str],
     ) -> None:
-        """Notes places that another owner copied here."""
-        for chat, index in zip(item.chats, item.indices, strict=False):
-            upstream = names.get(item.upstreams[index])
+        """Stores places that another owner replicated to this router."""
+        for chat, index in zip(message.chats, message.indices, strict=False):
+            upstream = upstream_names.get(message.upstreams[index])
             if upstream is not None:
-                place = placements.Place(upstream, item.instances[index])
+                place = placements.Place(upstream, message.instances[index])
                 self.places.learn(chat, place)
--- a/lavenderbend/coordination/admission/rates.py
+++ b/lavenderbend/coordination/admission/rates.py
@@ -1,4 +1,4 @@
-"""How fast permits of a group come back."""
+"""Rates at which the permits of a group are released."""
 
 from __future__ import annotations
 
@@ -10,53 +10,55 @@
 if TYPE_CHECKING:
     from lavenderbend.state import permits
 
-RATE_WEIGHT = 0.2
+SMOOTHING_FACTOR = 0.2
 PERIOD_SECONDS = 1.0
 
 
-class Rates:
-    """Smoothed rates and times of permits.
+class ReleaseRates:
+    """Smoothed release rates and service time of permits.
 
     Attributes:
-        rate: Permits given back a second; 0 before the first.
-        customers: The same by customer.
-        service: Seconds that a permit is held, smoothed.
+        rate: Permits released per second; 0 before the first.
+        customer_rates: The same by customer.
+        service_seconds: Seconds that a permit is held, smoothed.
+        released: Permits released in the current period, by customer.
+        updated_at: Owner clock of the last update.
     """
 
     def __init__(self) -> None:
         self.rate = 0.0
-        self.customers: dict[int, float] = {}
-        self.service = 0.0
+        self.customer_rates: dict[int, float] = {}
+        self.service_seconds = 0.0
         self.released: collections.Counter[int] = collections.Counter()
-        self.at = trio.current_time()
+        self.updated_at = trio.current_time()
 
-    def note(self, permit: permits.LivePermit) -> None:
-        """Notes a permit that came back."""
+    def note_release(self, permit: permits.LivePermit) -> None:
+        """Counts a released permit."""
         self.released[permit.customer] += 1
-        held = trio.current_time() - permit.granted_at
-        if self.service == 0.0:
-            self.service = held
-        self.service += 0.02 * (held - self.service)
+        held_seconds = trio.current_time() - permit.granted_at
+        if self.service_seconds == 0.0:
+            self.service_seconds = held_seconds
+        self.service_seconds += 0.02 * (held_seconds - self.service_seconds)
 
-    def measure(self) -> None:
-        """Updates the rates, once a period."""
+    def update(self) -> None:
+        """Updates the rates, at most once per period."""
         now = trio.current_time()
-        elapsed = now - self.at
+        elapsed = now - self.updated_at
         if elapsed < PERIOD_SECONDS:
             return
         self.rate = smooth(self.rate, self.released.total() / elapsed)
-        for customer in sorted({*self.customers, *self.released}):
-            before = self.customers.get(customer, 0.0)
+        for customer in sorted({*self.customer_rates, *self.released}):
+            before = self.customer_rates.get(customer, 0.0)
             rate = smooth(before, self.released[customer] / elapsed)
-            self.customers[customer] = rate
+            self.customer_rates[customer] = rate
             if rate < 0.001:
-                del self.customers[customer]
+                del self.customer_rates[customer]
         self.released.clear()
-        self.at = now
+        self.updated_at = now
 
 
-def smooth(before: float, now: float) -> float:
-    """Returns the smoothed value; the first one as it is."""
+def smooth(before: float, current: float) -> float:
+    """Returns the exponentially smoothed value; the first one unchanged."""
     if before == 0.0:
-        return now
-    return before + RATE_WEIGHT * (now - before)
+        return current
+    return before + SMOOTHING_FACTOR * (current - before)
--- a/lavenderbend/coordination/admission/refusals.py
+++ b/lavenderbend/coordination/admission/refusals.py
@@ -1,4 +1,4 @@
-"""What owners answer, in the entry's own types."""
+"""Converts answers of owners to the entry router's types."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 
 def raise_refusal(exc: errors.PeerRefused) -> None:
-    """Raises the owner's typed refusal as this entry's own."""
+    """Raises the error that the owner answered with, if its kind is known.
+
+    Raises:
+        RequestError: Of the same class as at the owner.
+    """
     kind = str(exc.args[0]) if exc.args else ''
     refusal = REFUSALS.get(kind)
     if refusal is None:
@@ -34,7 +38,13 @@
     grant: messages_decisions.PermitGrant,
     names: dict[int, upstreams.Vm],
 ) -> tuple[decisions.PassedOver, ...]:
-    """Returns who was passed over and why."""
+    """Returns the upstreams that the owner passed over, with the reasons.
+
+    Args:
+        grant: The owner's answer.
+        names: Upstreams by short id; the id of any other upstream is written
+            in hexadecimal.
+    """
     rows = zip(grant.passed_over[::2], grant.passed_over[1::2], strict=False)
     result = []
     for number, reason in rows:
--- a/lavenderbend/coordination/admission/service.py
+++ b/lavenderbend/coordination/admission/service.py
@@ -1,4 +1,4 @@
-"""The entry's side of admission: gets permits from owners."""
+"""The entry router's part of admission: gets permits from owners."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import interfaces
+from lavenderbend.coordination.admission import acquisition
 from lavenderbend.coordination.admission import degraded
 from lavenderbend.coordination.admission import groups
-from lavenderbend.coordination.admission import held as held_
+from lavenderbend.coordination.admission import held_permits
 from lavenderbend.coordination.admission import live_routers
 from lavenderbend.coordination.admission import owner as owner_
-from lavenderbend.coordination.admission import search
 from lavenderbend.coordination.admission import settings as settings_
 from lavenderbend.observe import logs
 from lavenderbend.observe import metrics
@@ -31,7 +31,7 @@
     from lavenderbend.state import upstreams
 
 NUMBER_BITS = 32
-# results of attempts that sent nothing
+# results of attempts that sent nothing to the upstream
 UNUSED_RESULTS = ('RequestQuarantined',)
 
 UNREACHABLE = metrics.counter(
@@ -40,18 +40,22 @@
 
 
 class OwnerAdmission(interfaces.Admission):
-    """Permits from the owner of each group of upstreams.
+    """Gets permits from the owner of each group of upstreams.
 
     Attributes:
         held: Permits in use here, by number.
         owners: Owner of each group by this router's view.
-        suspects: Until when an unreachable router is not asked.
-        out_of_touch: Owners that could not be reached since their last answer.
-        empty: Until when a group is not asked for a model that none of its
-            upstreams serves, by pool, group and model.
-        asking: Requests that wait for each router's answer.
-        polling: Whether the reports of a group are needed here, by the
-            routers in `polling_for`.
+        unreachable_until: Router clock until which an unreachable router is
+            not used as an owner.
+        disconnected: Owners that became unreachable and have not answered
+            since.
+        unserved_until: Router clock until which a group is not asked for a
+            model that none of its upstreams serves, by pool, group and model.
+        pending: Cancel scopes of the requests that wait for each router's
+            answer.
+        report_needs: Whether the reports of a group are needed here, by the
+            view in `report_needs_view`.
+        report_needs_view: The live routers that `report_needs` is based on.
     """
 
     def __init__(
@@ -82,21 +86,21 @@
             cache_client,
         )
         self.local = degraded.LocalShare(name, membership, routers)
-        self.held: dict[int, held_.Held] = {}
+        self.held: dict[int, held_permits.HeldPermit] = {}
         self.owners: dict[groups.GroupId, str] = {}
-        self.suspects: dict[str, float] = {}
-        self.out_of_touch: set[str] = set()
-        self.empty: dict[tuple[str, int, str | None], float] = {}
-        self.asking: dict[str, dict[trio.CancelScope, None]] = (
+        self.unreachable_until: dict[str, float] = {}
+        self.disconnected: set[str] = set()
+        self.unserved_until: dict[tuple[str, int, str | None], float] = {}
+        self.pending: dict[str, dict[trio.CancelScope, None]] = (
             collections.defaultdict(dict)
         )
         self.last_number = rng.getrandbits(NUMBER_BITS)
-        self.polling: dict[groups.GroupId, bool] = {}
-        self.polling_for: tuple[str, ...] = ()
+        self.report_needs: dict[groups.GroupId, bool] = {}
+        self.report_needs_view: tuple[str, ...] = ()
         link.handle(messages_decisions.PermitResync, self.on_resync)
 
     def next_number(self) -> int:
-        """Returns a number that no live permit of this entry has."""
+        """Returns a number that no live permit of this entry router has."""
         while True:
             self.last_number = (self.last_number + 1) % 2**NUMBER_BITS
             if self.last_number not in self.held:
@@ -116,10 +120,10 @@
     async def acquire(self, ask: interfaces.PermitAsk) -> interfaces.Permit:
         """Returns a permit, waiting up to the deadline for one."""
         pool = self.pool(ask.pool)
-        return await search.Search(self, ask, pool).run()
+        return await acquisition.PermitAcquisition(self, ask, pool).run()
 
     def release(self, permit: interfaces.Permit, result: str) -> None:
-        """Gives the permit back; safe to call twice."""
+        """Releases the permit; safe to call twice."""
         number = int(permit.id.rpartition('/')[2])
         held = self.held.pop(number, None)
         if held is None:
@@ -128,49 +132,49 @@
             self.local.release(held.upstream)
         if held.owner:
             unused = result in UNUSED_RESULTS
-            item = messages_decisions.PermitRelease([number], unused)
-            self.tell(held.owner, item)
+            message = messages_decisions.PermitRelease([number], unused)
+            self.send_notice(held.owner, message)
 
-    def wants_report(self, vm: upstreams.Vm) -> bool:
+    def needs_report(self, vm: upstreams.Vm) -> bool:
         """Returns whether this router needs an engine's load reports.
 
-        The owner of its group does, and the router that becomes the owner
-        if that one is lost; any other while it must admit alone.
+        The owner of its group and that owner's successor do, and any other
+        router while it must admit in degraded mode.
         """
         try:
             self.directory.refresh()
         except errors.NoConfiguration:
             return False
         return any(
-            self.wants_group(
+            self.needs_group_reports(
                 groups.group_id(pool, self.directory.index(pool, vm.id))
             )
             for pool in self.directory.pools.values()
             if pool.service == vm.service
         )
 
-    def wants_group(self, group: groups.GroupId) -> bool:
+    def needs_group_reports(self, group: groups.GroupId) -> bool:
         """Returns whether this router needs the reports of a group."""
         routers = self.membership.region_routers()
-        if self.polling_for != routers:
-            self.polling_for = routers
-            self.polling.clear()
-        if group not in self.polling:
-            self.polling[group] = self.name in groups.first_owners(
+        if self.report_needs_view != routers:
+            self.report_needs_view = routers
+            self.report_needs.clear()
+        if group not in self.report_needs:
+            self.report_needs[group] = self.name in groups.first_owners(
                 group, routers
             )
-        return self.polling[group] or not self.owner_of(group)
+        return self.report_needs[group] or not self.owner_of(group)
 
-    def held_of(self, owner: str, group: groups.GroupId) -> int:
+    def held_count(self, owner: str, group: groups.GroupId) -> int:
         """Returns how many permits of an owner's group are held here."""
         return sum(
-            one.owner == owner and one.group == group
-            for one in self.held.values()
+            held.owner == owner and held.group == group
+            for held in self.held.values()
         )
 
-    def tell(self, router: str, item: peer.Message) -> None:
+    def send_notice(self, router: str, message: peer.Message) -> None:
         """Queues a notice to a router."""
-        self.link.notify(router, item)
+        self.link.notify(router, message)
 
     def owner_of(self, group: groups.GroupId) -> str:
         """Returns the owner of a group, empty if it is not reachable."""
@@ -178,49 +182,53 @@
         if name is None:
             name = groups.owner(group, self.membership.region_routers())
             self.owners[group] = name
-        if self.suspects.get(name, 0.0) > trio.current_time():
+        if self.unreachable_until.get(name, 0.0) > trio.current_time():
             return ''
         return name
 
-    def suspect(self, router: str) -> None:
-        """Leaves an unreachable router out for a while."""
+    def mark_unreachable(self, router: str) -> None:
+        """Stops using an unreachable router as an owner for some time."""
         now = trio.current_time()
-        if self.suspects.get(router, 0.0) <= now:
+        if self.unreachable_until.get(router, 0.0) <= now:
             logs.change('owner_unreachable', owner=router)
-        self.suspects[router] = now + self.settings.suspect
-        if router not in self.out_of_touch:
-            self.out_of_touch.add(router)
-            self.local.lost_at = now
-        self.stop_asking(router)
+        self.unreachable_until[router] = now + self.settings.unreachable_backoff
+        if router not in self.disconnected:
+            self.disconnected.add(router)
+            self.local.owner_lost_at = now
+        self.cancel_pending(router)
         UNREACHABLE.inc({'owner': router})
 
-    def back_in_touch(self, router: str) -> None:
-        """Lists the permits of an owner's groups after a time without it.
+    def reconnect(self, router: str) -> None:
+        """Registers permits with an owner that answers again.
 
-        Permits taken alone meanwhile are unknown to it: it would see their
-        load one report late and fill the engines above the bound.
+        Permits granted in degraded mode meanwhile are unknown to it: it would
+        see their load one report late and load the engines above the bound.
         """
-        self.out_of_touch.discard(router)
+        self.disconnected.discard(router)
         for group, name in self.owners.items():
             if name == router:
-                held = [one for one in self.held.values() if one.group == group]
+                held = [
+                    permit
+                    for permit in self.held.values()
+                    if permit.group == group
+                ]
                 self.register(group, router, held)
 
-    def stop_asking(self, router: str) -> None:
-        """Ends the wait for the answers of a router that is lost.
+    def cancel_pending(self, router: str) -> None:
+        """Cancels the requests that wait for the answer of a lost router.
 
-        Those that wait in its queue would else learn of it only when the
-        time is over that it may hold an answer.
+        Otherwise requests queued there would not notice the loss until the
+        time for which the router may hold an answer is over.
         """
-        for scope in list(self.asking[router]):
+        for scope in list(self.pending[router]):
             scope.cancel()
 
     def refresh_owners(self) -> None:
-        """Reads the owners anew and moves the live permits to new ones."""
+        """Computes the owners anew and registers permits with new owners."""
         routers = self.membership.region_routers()
-        for router in list(self.asking):
+        for router in list(self.pending):
             if router not in routers:
-                self.stop_asking(router)
+                self.cancel_pending(router)
         by_group = collections.defaultdict(list)
         for held in self.held.values():
             by_group[held.group].append(held)
@@ -232,76 +240,82 @@
             self.owners[group] = name
             if before is not None:
                 moved = messages_decisions.PermitMoved(group.pool, group.index)
-                self.tell(before, moved)
+                self.send_notice(before, moved)
             self.register(group, name, by_group[group])
 
     def register(
-        self, group: groups.GroupId, name: str, held: list[held_.Held]
+        self,
+        group: groups.GroupId,
+        name: str,
+        held: list[held_permits.HeldPermit],
     ) -> None:
-        """Lists this entry's permits of a group to its owner."""
+        """Lists this entry router's permits of a group to its owner."""
         now = trio.current_time()
         short_id = messages_decisions.short_id
-        item = messages_decisions.PermitRegister(
+        message = messages_decisions.PermitRegister(
             group.pool,
             group.index,
-            [one.number for one in held],
-            [short_id(one.upstream) for one in held],
-            [round((now - one.granted_at) * 10) for one in held],
-            [one.customer for one in held],
+            [permit.number for permit in held],
+            [short_id(permit.upstream) for permit in held],
+            [round((now - permit.granted_at) * 10) for permit in held],
+            [permit.customer for permit in held],
         )
-        for one in held:
-            self.held[one.number] = attrs.evolve(one, owner=name)
-        self.tell(name, item)
-
-    async def on_resync(self, router: str, item: peer.Message) -> None:
-        """Lists all permits of a group to an owner whose sums differ."""
-        assert isinstance(item, messages_decisions.PermitResync)
-        group = groups.GroupId(item.pool, item.group)
+        for permit in held:
+            self.held[permit.number] = attrs.evolve(permit, owner=name)
+        self.send_notice(name, message)
+
+    async def on_resync(self, router: str, message: peer.Message) -> None:
+        """Lists all permits of a group to an owner whose digest differs."""
+        assert isinstance(message, messages_decisions.PermitResync)
+        group = groups.GroupId(message.pool, message.group)
         if self.owners.get(group) != router:
-            self.tell(
-                router, messages_decisions.PermitMoved(item.pool, item.group)
+            self.send_notice(
+                router,
+                messages_decisions.PermitMoved(message.pool, message.group),
             )
             return
-        held = [one for one in self.held.values() if one.group == group]
+        held = [
+            permit for permit in self.held.values() if permit.group == group
+        ]
         self.register(group, router, held)
 
     async def run(self) -> None:
-        """Keeps owners informed, and serves as an owner."""
+        """Runs the tasks of the entry router and of the owner."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.owner.run)
             nursery.start_soon(self.run_owners)
-            nursery.start_soon(self.run_beats)
+            nursery.start_soon(self.run_heartbeats)
 
     async def run_owners(self) -> None:
-        """Follows changes of the view."""
+        """Refreshes the owners when the view of live routers changes."""
         while True:
-            with owner_.UNCONFIGURED:
+            with owner_.SKIP_REQUEST_ERRORS:
                 self.refresh_owners()
-            # a first configuration is no change of the view
-            with trio.move_on_after(self.settings.beat):
+            # the first configuration does not change the view
+            with trio.move_on_after(self.settings.heartbeat_interval):
                 await self.membership.wait_changed()
 
-    async def run_beats(self) -> None:
-        """Sends each owner the sums of this entry's permits."""
-        await trio.sleep(self.rng.random() * self.settings.beat)
+    async def run_heartbeats(self) -> None:
+        """Sends each owner the digests of this entry router's permits."""
+        await trio.sleep(self.rng.random() * self.settings.heartbeat_interval)
         while True:
-            await trio.sleep(self.settings.beat)
-            for router, item in self.digests().items():
-                self.tell(router, item)
+            await trio.sleep(self.settings.heartbeat_interval)
+            for router, message in self.digests().items():
+                self.send_notice(router, message)
 
     def digests(self) -> dict[str, messages_decisions.PermitDigest]:
         """Returns the heartbeat for each owner."""
         by_group = collections.defaultdict(list)
         for held in self.held.values():
             by_group[held.group].append(held.number)
-        items: dict[str, messages_decisions.PermitDigest] = {}
+        messages: dict[str, messages_decisions.PermitDigest] = {}
         for group, name in self.owners.items():
-            item = items.setdefault(
+            message = messages.setdefault(
                 name, messages_decisions.PermitDigest([], [], [], [])
             )
             numbers = by_group[group]
-            item.pools.append(group.pool)
-            item.groups.append(group.index)
-            item.counts.append(len(numbers))
-            item.digests.append(permits.digest(tuple(numbers)))
-        return items
+            message.pools.append(group.pool)
+            message.groups.append(group.index)
+            message.counts.append(len(numbers))
+            message.digests.append(permits.digest(tuple(numbers)))
+        return messages
--- a/lavenderbend/coordination/admission/serving.py
+++ b/lavenderbend/coordination/admission/serving.py
@@ -1,4 +1,4 @@
-"""Which upstreams serve a model, by their last reports."""
+"""Which upstreams serve a model, according to their last load reports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     vms: Sequence[upstreams.Vm],
     model: int | None,
 ) -> list[upstreams.Vm]:
-    """Returns the upstreams that serve a model and are not leaving.
+    """Returns the upstreams that serve a model and are not draining.
 
     Args:
         membership: Gives the reports.
@@ -37,17 +37,22 @@
     ]
 
 
-def unknown(
+def unreported_count(
     membership: interfaces.Membership,
     vms: Sequence[upstreams.Vm],
     model: int | None,
 ) -> int:
-    """Returns how many upstreams have yet to say what they serve.
+    """Returns how many upstreams have not reported which models they serve.
 
-    A new owner has the reports of some upstreams before those of others.
-    Were the mean taken over the first alone, the bound would let them take
-    the load of all; so the others count as idle until their reports come or
-    membership finds them unreachable.
+    A new owner receives the reports of some upstreams before those of
+    others. If the mean were taken over the first ones alone, the bound would
+    let them take the load of all. So the others count as idle until their
+    reports arrive or membership finds them unreachable.
+
+    Args:
+        membership: Gives the reports.
+        vms: Upstreams that may get new work.
+        model: Short id of the model, None for plain services.
     """
     if model is None:
         return 0
@@ -67,6 +72,6 @@
 
 
 def draining(membership: interfaces.Membership, upstream: str) -> bool:
-    """Returns whether the last report says that it is leaving."""
+    """Returns whether the last report says that the upstream is draining."""
     report = membership.report(upstream)
     return report is not None and report.draining
--- a/lavenderbend/coordination/admission/shares.py
+++ b/lavenderbend/coordination/admission/shares.py
@@ -17,16 +17,16 @@
 
 @attrs.frozen
 class Demand:
-    """What a customer has and wants.
+    """Demand of one customer.
 
     Attributes:
         customer: Short id.
-        wanted: Requests that run or wait.
-        weight: Its weight.
+        requests: Number of requests that run or wait.
+        weight: Weight of the customer.
     """
 
     customer: int
-    wanted: int
+    requests: int
     weight: float
 
 
@@ -35,8 +35,9 @@
 
     Attributes:
         live: Permits in use by each customer.
-        waiting: Requests of each customer that wait.
-        level: Slots for each unit of weight; infinite if all find room.
+        waiting: Queued requests of each customer.
+        level: Slots per unit of weight; infinite if all demand is met.
+        refreshed_at: Owner clock at which the level was computed.
     """
 
     def __init__(self, directory: groups.Directory) -> None:
@@ -44,44 +45,46 @@
         self.live: collections.Counter[int] = collections.Counter()
         self.waiting: collections.Counter[int] = collections.Counter()
         self.level = math.inf
-        self.at = -math.inf
+        self.refreshed_at = -math.inf
 
-    def over(self, customer: int, slots: int) -> bool:
+    def reached(self, customer: int, slots: int) -> bool:
         """Returns whether a customer has its fair share of the slots."""
         now = trio.current_time()
-        if now >= self.at + REFRESH_SECONDS:
+        if now >= self.refreshed_at + REFRESH_SECONDS:
             self.level = fair_level(self.demands(), slots)
-            self.at = now
+            self.refreshed_at = now
         weight = self.directory.weight(customer)
         return self.live[customer] >= self.level * weight
 
     def demands(self) -> list[Demand]:
-        """Returns what each customer has and wants."""
+        """Returns the demand of each customer; forgets idle customers."""
         demands = []
         for customer in sorted({*self.live, *self.waiting}):
-            wanted = self.live[customer] + self.waiting[customer]
-            if wanted <= 0:
+            requests = self.live[customer] + self.waiting[customer]
+            if requests <= 0:
                 del self.live[customer]
                 del self.waiting[customer]
                 continue
             weight = self.directory.weight(customer)
-            demands.append(Demand(customer, wanted, weight))
+            demands.append(Demand(customer, requests, weight))
         return demands
 
 
 def fair_level(demands: list[Demand], slots: int) -> float:
-    """Returns the slots for each unit of weight, by water-filling.
+    """Returns the slots per unit of weight, by water-filling.
 
-    Customers that want less than their share get what they want; the rest
-    is divided among the others by weight.
+    Customers whose demand is below their share get all of it; the rest is
+    divided among the others by weight.
     """
     left = float(slots)
     weights = sum(demand.weight for demand in demands)
-    ordered = sorted(demands, key=lambda one: one.wanted / one.weight)
+    ordered = sorted(
+        demands, key=lambda demand: demand.requests / demand.weight
+    )
     for demand in ordered:
         level = left / weights
-        if demand.wanted / demand.weight > level:
+        if demand.requests / demand.weight > level:
             return level
-        left -= demand.wanted
+        left -= demand.requests
         weights -= demand.weight
     return math.inf
--- a/lavenderbend/coordination/admission/waiter.py
+++ b/lavenderbend/coordination/admission/waiter.py
@@ -18,30 +18,32 @@
     """A permit request that is not decided yet.
 
     Attributes:
-        entry: Router that asks.
-        ask: What it asks for.
+        entry: Router that sent the request.
+        request: The message.
         deadline: Owner clock.
-        since: Owner clock at which it came.
-        polled: Owner clock of the entry's last sign about it.
-        done: Set when `choice`, `error` or `elsewhere` is.
-        choice: The permit.
-        error: Why there is none.
-        elsewhere: Group of the pool to ask instead.
-        nobody: Whether no upstream of the group serves it.
-        passed: Times that others of its customer went before it.
-        patient_until: Owner clock until which it waits for room where its
-            context is, though other upstreams have room.
+        arrived_at: Owner clock at which the request arrived.
+        polled_at: Owner clock of the entry router's last message about it.
+        done: Set when `choice`, `error`, `redirect_group` or `unserved` is.
+        choice: The granted permit.
+        error: Why no permit is granted.
+        redirect_group: Index of the group of the pool to ask instead.
+        unserved: Whether no upstream of the group serves it.
+        overtaken: How many requests of its customer were granted a permit
+            in its place.
+        locality_wait_until: Owner clock until which it waits for headroom
+            at the upstream that holds its context, though other upstreams
+            have headroom.
     """
 
     entry: str
-    ask: messages_decisions.PermitRequest
+    request: messages_decisions.PermitRequest
     deadline: float
-    since: float
-    polled: float
+    arrived_at: float
+    polled_at: float
     done: trio.Event = attrs.field(factory=trio.Event)
     choice: placement.Choice | None = None
     error: errors.RequestError | None = None
-    elsewhere: int | None = None
-    nobody: bool = False
-    passed: int = 0
-    patient_until: float = 0.0
+    redirect_group: int | None = None
+    unserved: bool = False
+    overtaken: int = 0
+    locality_wait_until: float = 0.0
--- a/lavenderbend/coordination/explain.py
+++ b/lavenderbend/coordination/explain.py
@@ -200,7 +200,7 @@
     """Returns what would become of one candidate."""
     if candidate.upstream == choice.upstream:
         return f'{TAKEN}: {reason}'
-    return placement.refusal(candidate, allowed, max_load) or LATER
+    return placement.refusal_reason(candidate, allowed, max_load) or LATER
 
 
 def serves(
--- a/lavenderbend/coordination/fairness.py
+++ b/lavenderbend/coordination/fairness.py
@@ -1,4 +1,4 @@
-"""Waiting by priority, then by weighted fair share between customers."""
+"""Queue by priority, then by weighted fair share between customers."""
 
 from __future__ import annotations
 
@@ -14,64 +14,65 @@
 
 T = TypeVar('T')
 
-# priority, start, sequence
-Place = tuple[int, float, int]
+# priority, start tag, sequence number
+Position = tuple[int, float, int]
 
 
 class FairQueue(Generic[T]):
     """Start-time fair queue for each priority.
 
-    An item starts at the virtual time, or where its customer's last item
-    ends if that is later; items leave by their start. A customer that asks
-    for much waits behind itself, not before the others.
+    The start tag of an item is the virtual time, or the finish tag of its
+    customer's last item if that is later. Items are dequeued by rising start
+    tag, so the items of a customer with high demand queue behind each other
+    and not before those of other customers.
 
     Attributes:
-        items: Priority, start, sequence and item, in the order of leaving.
-        places: Place of each item in that order, by identity.
-        at: Item at each place.
+        items: Priority, start tag, sequence number and item, in queue order.
+        positions: Position of each item in that order, by identity.
+        item_at: Item at each position.
         keys: Priority and customer of each item, by identity.
-        by_customer: Places of each priority and customer, in order.
-        virtual: Virtual time of each priority.
-        ends: End of the last item, by priority and customer.
+        by_customer: Positions of each priority and customer, in order.
+        virtual_time: Virtual time of each priority.
+        finish: Finish tag of the last item, by priority and customer.
     """
 
     def __init__(self) -> None:
         self.items: list[tuple[int, float, int, T]] = []
-        self.places: dict[int, Place] = {}
-        self.at: dict[Place, T] = {}
+        self.positions: dict[int, Position] = {}
+        self.item_at: dict[Position, T] = {}
         self.keys: dict[int, tuple[int, int]] = {}
-        self.by_customer: dict[tuple[int, int], list[Place]] = (
+        self.by_customer: dict[tuple[int, int], list[Position]] = (
             collections.defaultdict(list)
         )
-        self.virtual: dict[int, float] = {}
-        self.ends: dict[tuple[int, int], float] = {}
+        self.virtual_time: dict[int, float] = {}
+        self.finish: dict[tuple[int, int], float] = {}
         self.counter = itertools.count()
 
     def __len__(self) -> int:
         return len(self.items)
 
     def __iter__(self) -> Iterator[T]:
-        """Yields the items in the order in which they would leave."""
+        """Yields the items in queue order."""
         for _, _, _, item in self.items:
             yield item
 
     def start(self, priority: int, customer: int) -> float:
-        """Returns the start that a new item of the customer would get."""
-        virtual = self.virtual.get(priority, 0.0)
-        return max(virtual, self.ends.get((priority, customer), 0.0))
+        """Returns the start tag that a new item of the customer would get."""
+        virtual_time = self.virtual_time.get(priority, 0.0)
+        return max(virtual_time, self.finish.get((priority, customer), 0.0))
 
     def ahead(self, priority: int, customer: int) -> int:
-        """Returns how many items would leave before a new one."""
+        """Returns how many items would be dequeued before a new one."""
         start = self.start(priority, customer)
-        place = (priority, start, next(self.counter))
-        return bisect.bisect(self.items, place)  # type: ignore[type-var]
+        position = (priority, start, next(self.counter))
+        return bisect.bisect(self.items, position)  # type: ignore[type-var]
 
     def count_of(self, priority: int, customer: int) -> int:
-        """Returns how many items of a customer wait at a priority."""
+        """Returns how many items of a customer are queued at a priority."""
         return len(self.by_customer.get((priority, customer), ()))
 
     def last(self) -> T:
-        """Returns the item that would leave last."""
+        """Returns the item that would be dequeued last."""
         return self.items[-1][3]
 
     def push(
@@ -80,61 +81,61 @@
         """Adds an item.
 
         Args:
-            item: The item; told apart by identity.
-            priority: Smaller goes first.
-            customer: Whose item it is.
-            weight: Share of the customer against the others.
+            item: The item; compared by identity.
+            priority: Lower values are dequeued first.
+            customer: Customer that the item belongs to.
+            weight: Weight of the customer relative to the others.
         """
         start = self.start(priority, customer)
-        self.ends[priority, customer] = start + 1.0 / weight
-        place = (priority, start, next(self.counter))
-        self.places[id(item)] = place
+        self.finish[priority, customer] = start + 1.0 / weight
+        position = (priority, start, next(self.counter))
+        self.positions[id(item)] = position
         self.keys[id(item)] = (priority, customer)
-        self.at[place] = item
-        bisect.insort(self.items, (*place, item))
-        bisect.insort(self.by_customer[priority, customer], place)
+        self.item_at[position] = item
+        bisect.insort(self.items, (*position, item))
+        bisect.insort(self.by_customer[priority, customer], position)
 
-    def others_of(self, item: T, count: int) -> list[T]:
-        """Returns the customer's next items behind one, of its priority."""
+    def next_of_customer(self, item: T, count: int) -> list[T]:
+        """Returns the next items of an item's customer and priority."""
         key = self.keys[id(item)]
-        place = self.places[id(item)]
-        start = bisect.bisect_right(self.by_customer[key], place)
-        behind = self.by_customer[key][start : start + count]
-        return [self.at[other] for other in behind]
+        position = self.positions[id(item)]
+        start = bisect.bisect_right(self.by_customer[key], position)
+        following = self.by_customer[key][start : start + count]
+        return [self.item_at[other] for other in following]
 
     def swap(self, left: T, right: T) -> None:
-        """Lets two items of one customer change their places."""
-        first = self.places[id(left)]
-        second = self.places[id(right)]
+        """Swaps the positions of two items of one customer."""
+        first = self.positions[id(left)]
+        second = self.positions[id(right)]
         self.items[bisect.bisect_left(self.items, first)] = (*first, right)
         self.items[bisect.bisect_left(self.items, second)] = (*second, left)
-        self.places[id(left)] = second
-        self.places[id(right)] = first
-        self.at[first] = right
-        self.at[second] = left
+        self.positions[id(left)] = second
+        self.positions[id(right)] = first
+        self.item_at[first] = right
+        self.item_at[second] = left
 
     def take(self, item: T) -> None:
-        """Takes an item out because its turn has come."""
-        place = self.places.get(id(item))
-        if place is None:
+        """Dequeues an item and advances the virtual time to its start tag."""
+        position = self.positions.get(id(item))
+        if position is None:
             return
-        priority, start, _ = place
-        virtual = self.virtual.get(priority, 0.0)
-        self.virtual[priority] = max(virtual, start)
+        priority, start, _ = position
+        virtual_time = self.virtual_time.get(priority, 0.0)
+        self.virtual_time[priority] = max(virtual_time, start)
         self.remove(item)
 
     def remove(self, item: T) -> None:
-        """Takes an item out that is not waiting any more."""
-        place = self.places.pop(id(item), None)
-        if place is None:
+        """Removes an item without advancing the virtual time."""
+        position = self.positions.pop(id(item), None)
+        if position is None:
             return
-        del self.items[bisect.bisect_left(self.items, place)]
-        del self.at[place]
+        del self.items[bisect.bisect_left(self.items, position)]
+        del self.item_at[position]
         key = self.keys.pop(id(item))
-        mine = self.by_customer[key]
-        del mine[bisect.bisect_left(mine, place)]
-        if not mine:
+        queued = self.by_customer[key]
+        del queued[bisect.bisect_left(queued, position)]
+        if not queued:
             del self.by_customer[key]
         if not self.items:
-            self.ends.clear()
-            self.virtual.clear()
+            self.finish.clear()
+            self.virtual_time.clear()
--- a/lavenderbend/coordination/placement.py
+++ b/lavenderbend/coordination/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream of a group a request goes to."""
+"""Chooses the upstream of a group that a request is sent to."""
 
 from __future__ import annotations
 
@@ -24,16 +24,18 @@
 AVOIDED = 'used by an earlier attempt'
 NO_ADAPTER = 'adapter not loaded'
 OWN_SHARE = 'own share of the last report'
-TESTED = 'runs another suspect request'
-
-# reasons that hold for the moment only
-MAY_PASS = (OVER_BOUND, FULL, OTHER_OWNER)
-ROUNDING = 1e-9
-LARGE_MEAN = 16.0
-# the mean may fall after a request was admitted; a tenth is kept for that
-KEPT_PART = 0.9
-
-# positions go over the wire: append only
+RUNS_SUSPECT = 'runs another suspect request'
+
+# reasons that may cease to apply when other requests end
+TEMPORARY_REASONS = (OVER_BOUND, FULL, OTHER_OWNER)
+ROUNDING_TOLERANCE = 1e-9
+# mean load from which on the bound is rounded down
+LARGE_MEAN_LOAD = 16.0
+# The mean may fall after a request was admitted: a tenth of the margin above
+# the mean is reserved for that.
+USABLE_MARGIN_FRACTION = 0.9
+
+# The positions are part of the peer protocol: only append.
 REASONS = (
     HELD_CHAT,
     LEAST_LOADED,
@@ -43,13 +45,16 @@
     AVOIDED,
     NO_ADAPTER,
     OWN_SHARE,
-    TESTED,
+    RUNS_SUSPECT,
 )
 REASON_NUMBERS = {reason: number for number, reason in enumerate(REASONS)}
 
 
 def reason_text(number: int) -> str:
-    """Returns a reason by its number; a newer router may know more."""
+    """Returns the text of a reason by its number.
+
+    A router of a newer version may send a number that is not in `REASONS`.
+    """
     if 0 <= number < len(REASONS):
         return REASONS[number]
     return f'reason {number}'
@@ -63,30 +68,31 @@
         upstream: VM id.
         instance: Instance of its process, empty if unknown.
         load: Its load now, as far as known.
-        room: Permits that may be added by what other owners may be doing,
-            None if there is no other owner.
-        adapter: Whether it has the adapter loaded, if one is asked for.
+        headroom: Permits that may be added while another owner may be
+            active, None if there is no other owner.
+        adapter: Whether it has the adapter loaded, if the request needs one.
         avoided: Whether an earlier attempt used it.
-        tested: Whether it runs a suspect request, if this one is suspect.
+        runs_suspect: Whether it runs a suspect request, if this one is
+            suspect.
     """
 
     upstream: str
     instance: str
     load: int
-    room: int | None = None
+    headroom: int | None = None
     adapter: bool = True
     avoided: bool = False
-    tested: bool = False
+    runs_suspect: bool = False
 
 
 @attrs.frozen
 class Choice:
-    """What was decided.
+    """The chosen upstream and why.
 
     Attributes:
         upstream: VM id, None if every candidate was passed over.
-        reason: Why this upstream.
-        passed_over: Pairs of VM id and reason, those tried before it.
+        reason: Why this upstream was chosen.
+        passed_over: Pairs of VM id and reason, for those tried before it.
     """
 
     upstream: str | None
@@ -95,31 +101,33 @@
 
 
 def allowed_load(
-    pool: configuration.Pool, load: int, count: int, unseen: float = 0.0
+    pool: configuration.Pool, load: int, count: int, possibly_ended: float = 0.0
 ) -> int:
     """Returns the highest load that the bound allows on one upstream.
 
-    The mean counts the new request. Some upstream is always at or below the
-    mean, so the next whole number above it must be allowed. While one
-    request is a large part of the mean the bound is rounded up: rounded
-    down, returning chats would find no room at their place. Above that the
-    load also stays under c times the mean while the mean falls.
+    The mean includes the new request. Some upstream is always at or below
+    the mean, so the next integer above it must be allowed. While one request
+    is a large part of the mean the bound is rounded up: rounded down, it
+    would leave no headroom for returning chats at the upstream that holds
+    their context. From a mean of `LARGE_MEAN_LOAD` on it is rounded down and
+    has a margin, so that the load stays below `pool.bound` times the mean
+    even while the mean falls.
 
     Args:
-        pool: Bound, floor and hard limit.
-        load: Load of all upstreams together, the new request not counted.
-        count: How many upstreams.
-        unseen: Requests that may have ended already, their releases being
-            on the way: counted in, they would raise the bound.
+        pool: Gives bound, floor and hard limit.
+        load: Load of all upstreams together, without the new request.
+        count: Number of upstreams.
+        possibly_ended: Requests that may have ended although their releases
+            have not arrived: if counted, they would raise the bound.
     """
     mean = (load + 1) / count
-    sure = max(0.0, load + 1 - unseen) / count
-    if mean < LARGE_MEAN:
-        bound = math.ceil(pool.bound * sure - ROUNDING)
+    certain_mean = max(0.0, load + 1 - possibly_ended) / count
+    if mean < LARGE_MEAN_LOAD:
+        bound = math.ceil(pool.bound * certain_mean - ROUNDING_TOLERANCE)
     else:
-        inner = 1 + KEPT_PART * (pool.bound - 1)
-        bound = math.floor(inner * sure + ROUNDING)
-    allowed = max(pool.floor, math.ceil(mean - ROUNDING), bound)
+        factor = 1 + USABLE_MARGIN_FRACTION * (pool.bound - 1)
+        bound = math.floor(factor * certain_mean + ROUNDING_TOLERANCE)
+    allowed = max(pool.floor, math.ceil(mean - ROUNDING_TOLERANCE), bound)
     return min(allowed, pool.max_load)
 
 
@@ -128,71 +136,74 @@
     places: Sequence[placements.Place],
     tie_break: int,
 ) -> list[tuple[Candidate, str]]:
-    """Returns the candidates in the order of trying, with the reasons.
+    """Returns the candidates in the order to try them, with the reasons.
 
-    Where the chat's context was last comes first, the others by their load:
-    new chats fill what is empty, and those that return find room at their
-    place.
+    The upstreams that hold the chat's context come first, the others follow
+    by rising load. So new chats go to idle upstreams, and returning ones find
+    headroom at the upstream that holds their context.
 
     Args:
         candidates: The upstreams.
         places: Where the chat's context was, the latest first.
-        tie_break: Decides between equal loads.
+        tie_break: Determines the order between equal loads.
     """
     by_name = {candidate.upstream: candidate for candidate in candidates}
-    tried: list[tuple[Candidate, str]] = []
+    ordered: list[tuple[Candidate, str]] = []
     for place in places:
-        held = by_name.get(place.upstream)
-        if held is None or held.instance != place.instance:
+        holder = by_name.get(place.upstream)
+        if holder is None or holder.instance != place.instance:
             continue
         del by_name[place.upstream]
-        tried.append((held, HELD_CHAT))
+        ordered.append((holder, HELD_CHAT))
     ranked = least_loaded(by_name.values(), tie_break)
-    return [*tried, *((one, LEAST_LOADED) for one in ranked)]
+    return [*ordered, *((candidate, LEAST_LOADED) for candidate in ranked)]
 
 
 def least_loaded(
     candidates: Iterable[Candidate], tie_break: int
 ) -> list[Candidate]:
-    """Returns the candidates by rising load."""
+    """Returns the candidates by rising load.
+
+    Those with the adapter come first. Equal loads are ordered by a hash.
+    """
     key = tie_break.to_bytes(8, 'big')
 
     def rank(candidate: Candidate) -> tuple[bool, int, int]:
-        lot = hashing.hash64(key, candidate.upstream)
-        return not candidate.adapter, candidate.load, lot
+        tie_hash = hashing.hash64(key, candidate.upstream)
+        return not candidate.adapter, candidate.load, tie_hash
 
     return sorted(candidates, key=rank)
 
 
 def choose(
-    tried: Sequence[tuple[Candidate, str]], allowed: int, max_load: int
+    ordered: Sequence[tuple[Candidate, str]], allowed: int, max_load: int
 ) -> Choice:
     """Returns the first candidate that is not passed over.
 
     Args:
-        tried: Candidates in the order of trying.
+        ordered: Candidates in the order to try them, with the reasons.
         allowed: Highest load that the bound allows.
         max_load: Hard limit of an upstream.
     """
     passed_over: list[tuple[str, str]] = []
-    for candidate, reason in tried:
-        refused = refusal(candidate, allowed, max_load)
+    for candidate, reason in ordered:
+        refused = refusal_reason(candidate, allowed, max_load)
         if not refused:
             return Choice(candidate.upstream, reason, tuple(passed_over))
         passed_over.append((candidate.upstream, refused))
     return Choice(None, passed_over=tuple(passed_over))
 
 
-def refusal(candidate: Candidate, allowed: int, max_load: int) -> str:
+def refusal_reason(candidate: Candidate, allowed: int, max_load: int) -> str:
     """Returns why the candidate cannot take a request, empty if it can."""
     if candidate.avoided:
         return AVOIDED
-    if candidate.tested:
-        return TESTED
+    if candidate.runs_suspect:
+        return RUNS_SUSPECT
     if candidate.load >= max_load:
         return FULL
     if candidate.load >= allowed:
         return OVER_BOUND
-    if candidate.room is not None and candidate.room <= 0:
+    if candidate.headroom is not None and candidate.headroom <= 0:
         return OTHER_OWNER
     return ''
--- a/lavenderbend/coordination/quarantine/quarantine.py
+++ b/lavenderbend/coordination/quarantine/quarantine.py
@@ -28,7 +28,7 @@
 # time for the other routers' notices of a death
 SETTLE_SECONDS = 0.5
 # one that ran longer is less suspect than one that was just sent; the same
-# as `AdmissionSettings.probation`
+# as `AdmissionSettings.suspect_interval`
 PROBATION_SECONDS = 1.0
 
 CRASHES = metrics.counter(
--- a/lavenderbend/coordination/retries.py
+++ b/lavenderbend/coordination/retries.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed attempt is made again."""
+"""Retry budget and backoff of failed attempts."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     """Limits of retries.
 
     Attributes:
-        share: Retries allowed for each first attempt of a pool.
-        minimum: Retries a second that are allowed at any traffic.
-        burst: Retries that may come at once.
+        share: Retries allowed per first attempt of a pool.
+        minimum: Retries per second that are allowed at any traffic.
+        burst: Most retries at once.
         base_delay: Upper bound of the first delay, in seconds.
         max_delay: Upper bound of any delay, in seconds.
     """
@@ -35,32 +35,33 @@
 
 
 class RetryBudget:
-    """Retries of one pool, as a share of its traffic.
+    """Token bucket that limits the retries of one pool.
 
-    When a pool fails as a whole, each request would be tried again and the
-    pool would get several times its load just then. The budget bounds the
-    added load to the share, however many requests fail.
+    When a whole pool fails, every request would be retried and the pool would
+    get several times its load while it fails. The budget limits the added
+    load to a share of the traffic, however many requests fail.
 
     Attributes:
         settings: The limits.
-        tokens: Retries that may be made now.
-        granted: Retries that were allowed.
-        denied: Retries that were not.
+        tokens: Retries that are allowed now.
+        refilled_at: Router clock of the last refill.
+        granted: Number of retries allowed so far.
+        denied: Number of retries denied so far.
     """
 
     def __init__(self, settings: RetrySettings | None = None) -> None:
         self.settings = settings or RetrySettings()
         self.tokens = self.settings.burst
-        self.at = trio.current_time()
+        self.refilled_at = trio.current_time()
         self.granted = 0
         self.denied = 0
 
     def note_request(self) -> None:
-        """Counts a first attempt, which earns a share of a retry."""
+        """Counts a first attempt, which adds a fraction of a token."""
         self.refill(self.settings.share)
 
     def try_take(self) -> bool:
-        """Takes a retry if the budget allows it."""
+        """Takes a token for a retry; returns whether there was one."""
         self.refill(0.0)
         if self.tokens < 1.0:
             self.denied += 1
@@ -70,10 +71,10 @@
         return True
 
     def refill(self, earned: float) -> None:
-        """Adds what time and traffic have earned."""
+        """Adds the tokens earned by traffic and by elapsed time."""
         now = trio.current_time()
-        earned += (now - self.at) * self.settings.minimum
-        self.at = now
+        earned += (now - self.refilled_at) * self.settings.minimum
+        self.refilled_at = now
         self.tokens = min(self.tokens + earned, self.settings.burst)
 
 
@@ -86,8 +87,8 @@
     """Returns the seconds to wait before an attempt, with full jitter.
 
     Args:
-        attempt: Number of the attempt to come; the first retry is 1.
-        rng: Source of the jitter.
+        attempt: Number of the next attempt; the first retry is 1.
+        rng: Random source of the jitter.
         deadline: Router clock at which the caller is told to give up.
         settings: The bounds.
 
@@ -104,10 +105,10 @@
 
 
 def earlier_attempts(headers: Mapping[str, str]) -> int:
-    """Returns how often a hop before this one has tried already.
+    """Returns how many attempts earlier hops have made.
 
-    A request that carries the header is itself a retry. Were it tried
-    again here, attempts would multiply at each hop: three hops of three
+    A request that carries the header is itself a retry. If it were retried
+    here as well, attempts would multiply at each hop: three hops of three
     attempts each would send one failing request 27 times.
     """
     text = headers.get(ATTEMPT_HEADER, '')
@@ -117,5 +118,5 @@
 
 
 def may_retry(headers: Mapping[str, str]) -> bool:
-    """Returns whether this router may retry: only first attempts."""
+    """Returns whether this router may retry: only first attempts may be."""
     return earlier_attempts(headers) == 0
--- a/lavenderbend/daemon/router.py
+++ b/lavenderbend/daemon/router.py
@@ -161,7 +161,7 @@
             adapters.admission_settings(settings.admission),
         )
         # an owner that lacks the reports of an engine would never use it
-        self.membership.wants_report = self.admission.wants_report
+        self.membership.wants_report = self.admission.needs_report
         self.limits = limits_module.CustomerLimits(
             settings.id, self.link, self.membership, self.configurations
         )
--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -1,4 +1,7 @@
-"""Routers that disagree: real membership and admission, a virtual clock."""
+"""A simulated fleet whose routers have different views of each other.
+
+Membership and admission are the real ones; the clock is virtual.
+"""
 
 from __future__ import annotations
 
@@ -25,21 +28,21 @@
 MODEL = 'chat-1'
 SERVICE = 'model'
 POOL = configuration.Pool('chat', SERVICE, bound=1.5, floor=2, max_load=32)
-ORDER_SECONDS = 1e-6  # between two messages of one connection
-WAY_SECONDS = (0.0005, 0.003)  # from a router to an engine or back
-ANSWER_SECONDS = (0.02, 0.3)
+MESSAGE_GAP_SECONDS = 1e-6  # between two messages of one connection
+ENGINE_LATENCY_SECONDS = (0.0005, 0.003)  # from a router to an engine or back
+SERVICE_SECONDS = (0.02, 0.3)
 PAUSE_SECONDS = (0.01, 0.1)  # between two turns of a chat
 DEADLINE_SECONDS = 30.0
 SETTLE_SECONDS = 1.0
 CUT_SECONDS = 3.0
 SHORT_CUT_SECONDS = 0.4
-CUT_PART = 0.6  # of the others, in a cut from some
+CUT_PROBABILITY = 0.6  # for each other router, with `Cuts.SOME`
 STALL_SECONDS = (0.02, 0.5)
 STALLS_PER_SECOND = 1.5
 
 
 class Cuts(enum.Enum):
-    """From which other routers a router is cut one way."""
+    """The other routers that a router is cut off from, in one direction."""
 
     NONE = 'none'
     SOME = 'some'
@@ -47,12 +50,12 @@
 
 
 @attrs.frozen
-class Troubles:
-    """What happens in a play.
+class Faults:
+    """Faults injected during a run.
 
     Attributes:
-        cuts: Each router in turn is cut from others, in one direction.
-        stalls: Routers stand still for a moment, one after the other.
+        cuts: Each router in turn is cut off from others, in one direction.
+        stalls: Randomly drawn routers are paused, one after the other.
     """
 
     cuts: Cuts
@@ -60,14 +63,14 @@
 
 
 class OrderedNetwork(network_lib.MemoryNetwork):
-    """A network whose messages from one router to another keep their order."""
+    """A network that keeps the order of messages between two routers."""
 
     def __init__(self, nursery: trio.Nursery, rng: random.Random) -> None:
         super().__init__(nursery, rng)
         self.due: dict[tuple[str, str], float] = {}
 
     async def carry(self, source: str, target: str) -> bool:
-        """Takes the time of a message; returns whether it arrives."""
+        """Waits for the latency of a message; returns whether it arrives."""
         delay = self.latency + self.rng.uniform(0, self.jitter)
         await self.wait_turn(source, target, delay)
         while stalled := {source, target} & self.paused.keys():
@@ -76,43 +79,43 @@
         return (source, target) not in self.cut
 
     async def wait_turn(self, source: str, target: str, delay: float) -> None:
-        """Waits for a delay, and behind the messages that went before."""
-        before = self.due.get((source, target), 0.0)
-        due = max(trio.current_time() + delay, before + ORDER_SECONDS)
+        """Waits for a delay and until all earlier messages have arrived."""
+        previous = self.due.get((source, target), 0.0)
+        due = max(trio.current_time() + delay, previous + MESSAGE_GAP_SECONDS)
         self.due[source, target] = due
         await trio.sleep_until(due)
 
 
 class LoadedEngines(interfaces.UpstreamClient):
-    """Engines that report what runs on them."""
+    """Engines whose load reports give the number of running requests."""
 
     def __init__(self, running: dict[str, int]) -> None:
         self.running = running
 
     async def open(self, vm, request, headers, timeout):
-        """Is not used here."""
+        """Always fails: no request is sent over this client."""
         raise errors.UpstreamUnreachable(vm.id)
 
     async def report(self, vm: upstreams.Vm) -> upstreams.LoadReport:
-        """Returns an engine's report."""
-        await trio.sleep(WAY_SECONDS[0])
+        """Returns an engine's load report."""
+        await trio.sleep(ENGINE_LATENCY_SECONDS[0])
         load = self.running[vm.id]
-        await trio.sleep(WAY_SECONDS[0])
+        await trio.sleep(ENGINE_LATENCY_SECONDS[0])
         return upstreams.LoadReport(vm.id, 'one', load, 0, models=(MODEL,))
 
 
 @attrs.define
 class Fleet:
-    """Routers with membership and admission before some engines.
+    """Routers with membership and admission in front of some engines.
 
     Attributes:
         nursery: Runs the routers.
-        rng: Draws the load and the troubles.
-        network: Between the routers.
+        rng: Random source of the load and the faults.
+        network: Connects the routers.
         members: Membership by router.
         admissions: Admission by router.
-        running: Requests that run on each engine.
-        held: Permits of all routers, ended or not.
+        running: Number of requests that run on each engine.
+        held: Permits of all routers, released or not.
     """
 
     nursery: trio.Nursery
@@ -134,7 +137,7 @@
         return list(self.running)
 
     def ask(self, chat: int) -> interfaces.PermitAsk:
-        """Returns an ask for a permit."""
+        """Returns the argument of `acquire` for a chat."""
         return interfaces.PermitAsk(
             request_id=f'request-{len(self.held)}',
             pool=POOL.name,
@@ -149,24 +152,24 @@
 
     async def serve(self, router: str, chat: int, seconds: float) -> None:
         """Runs one request, if it is admitted."""
-        one = self.admissions[router]
+        entry = self.admissions[router]
         try:
-            permit = await one.acquire(self.ask(chat))
+            permit = await entry.acquire(self.ask(chat))
         except errors.RequestError:
             return
-        index = self.note_begin(router, permit)
+        index = self.record_permit(router, permit)
         engine = permit.upstream.id
-        await trio.sleep(self.rng.uniform(*WAY_SECONDS))
+        await trio.sleep(self.rng.uniform(*ENGINE_LATENCY_SECONDS))
         self.running[engine] += 1
         await trio.sleep(seconds)
         self.running[engine] -= 1
-        await trio.sleep(self.rng.uniform(*WAY_SECONDS))
-        one.release(permit, 'complete')
+        await trio.sleep(self.rng.uniform(*ENGINE_LATENCY_SECONDS))
+        entry.release(permit, 'complete')
         self.held[index] = attrs.evolve(
             self.held[index], ended=trio.current_time()
         )
 
-    def note_begin(self, router: str, permit: interfaces.Permit) -> int:
+    def record_permit(self, router: str, permit: interfaces.Permit) -> int:
         """Records a permit; returns its index."""
         self.held.append(
             permits.Permit(
@@ -183,7 +186,7 @@
         return len(self.held) - 1
 
     async def chat(self, number: int, until: float) -> None:
-        """Sends turn after turn of chats through routers drawn at random."""
+        """Sends the turns of chats, each through a random router."""
         chat = number
         turns = 0
         while trio.current_time() < until:
@@ -192,46 +195,46 @@
                 turns = self.rng.randint(1, 5)
             turns -= 1
             router = self.rng.choice(self.names)
-            await self.serve(router, chat, self.rng.uniform(*ANSWER_SECONDS))
+            await self.serve(router, chat, self.rng.uniform(*SERVICE_SECONDS))
             await trio.sleep(self.rng.uniform(*PAUSE_SECONDS))
 
-    async def play(self, chats: int, troubles: Troubles) -> None:
-        """Plays a load while routers are cut off one after the other."""
+    async def run_load(self, chats: int, faults: Faults) -> None:
+        """Generates load while faults are injected."""
         seconds = 2 * SETTLE_SECONDS + CUT_SECONDS * len(self.names)
         until = trio.current_time() + seconds
         async with trio.open_nursery() as nursery:
             for number in range(chats):
                 nursery.start_soon(self.chat, number, until)
-            if troubles.stalls:
+            if faults.stalls:
                 nursery.start_soon(self.stall, until)
             await trio.sleep(SETTLE_SECONDS)
-            if troubles.cuts is not Cuts.NONE:
+            if faults.cuts is not Cuts.NONE:
                 for name in self.names:
-                    self.cut(name, troubles.cuts, nursery)
+                    self.cut(name, faults.cuts, nursery)
                     await trio.sleep(CUT_SECONDS)
 
     def cut(self, name: str, cuts: Cuts, nursery: trio.Nursery) -> None:
-        """Loses messages to or from a router, for a while."""
+        """Drops messages to or from a router for some seconds."""
         outward = self.rng.random() < 0.5
         for other in self.names:
             if other == name:
                 continue
             seconds = CUT_SECONDS
             if cuts is Cuts.SOME:
-                if self.rng.random() > CUT_PART:
+                if self.rng.random() > CUT_PROBABILITY:
                     continue
                 seconds = self.rng.uniform(SHORT_CUT_SECONDS, CUT_SECONDS)
             pair = (name, other) if outward else (other, name)
             nursery.start_soon(self.cut_pair, pair, seconds)
 
     async def cut_pair(self, pair: tuple[str, str], seconds: float) -> None:
-        """Loses the messages from one router to another for a while."""
+        """Drops messages from one router to another for some seconds."""
         self.network.cut.add(pair)
         await trio.sleep(seconds)
         self.network.cut.discard(pair)
 
     async def stall(self, until: float) -> None:
-        """Stalls one router after the other."""
+        """Pauses one random router after the other."""
         while trio.current_time() < until:
             await trio.sleep(self.rng.expovariate(STALLS_PER_SECOND))
             name = self.rng.choice(self.names)
@@ -254,32 +257,32 @@
             LoadedEngines(self.running),
             random.Random(self.rng.random()),
         )
-        one = admission.OwnerAdmission(
+        entry = admission.OwnerAdmission(
             vm.id,
             link,
             member,
             configurations,
             random.Random(self.rng.random()),
         )
-        member.wants_report = one.wants_report
+        member.wants_report = entry.needs_report
         self.members[vm.id] = member
-        self.admissions[vm.id] = one
+        self.admissions[vm.id] = entry
         self.nursery.start_soon(member.run)
-        self.nursery.start_soon(one.run)
+        self.nursery.start_soon(entry.run)
 
     def owner(self) -> str:
-        """Returns the owner of the pool, by the view of all."""
-        one = self.admissions[self.names[0]]
-        one.refresh_owners()
-        return one.owner_of(one.directory.groups()[0])
+        """Returns the owner of the pool's only group."""
+        entry = self.admissions[self.names[0]]
+        entry.refresh_owners()
+        return entry.owner_of(entry.directory.groups()[0])
 
     def loads_at(self, router: str):
-        """Returns the loads that a router knows as the owner of the pool."""
+        """Returns a router's `GroupLoads` as the owner of the pool."""
         (group,) = self.admissions[router].owner.owned.values()
         return group.loads
 
     def allowed_at(self, router: str) -> int:
-        """Returns the highest load that a router allows as the owner."""
+        """Returns the highest load per engine that a router allows as owner."""
         loads = self.loads_at(router)
         candidates = [
             placement.Candidate(vm.id, '', loads.table.load(vm.id))
@@ -291,7 +294,7 @@
 async def make_fleet(
     nursery: trio.Nursery, seed: int, routers: int = 4, engines: int = 5
 ) -> Fleet:
-    """Returns a fleet whose routers know each other."""
+    """Returns a fleet after all routers are in each other's view."""
     rng = random.Random(seed)
     fleet = Fleet(nursery, rng, OrderedNetwork(nursery, rng))
     listed = vm_list.VmListStandIn(
--- a/tests/test_coordination/test_admission_faults.py
+++ b/tests/test_coordination/test_admission_faults.py
@@ -11,7 +11,7 @@
 
 
 async def fill(fleet, count, start=0):
-    """Returns permits taken through all live routers in turn."""
+    """Acquires permits through all live routers in turn."""
     permits = []
     names = [name for name in fleet.names if name not in fleet.network.dead]
     for number in range(start, start + count):
@@ -21,39 +21,37 @@
     return permits
 
 
-def lose(fleet, name):
-    """A router dies; all others see it at once."""
+def kill_router(fleet, name):
+    """Ends a router; all others remove it from their view at once."""
     fleet.network.dead.add(name)
-    rest = [one for one in fleet.names if one != name]
-    for one in rest:
-        fleet.views[one].set_routers(rest)
+    rest = [other for other in fleet.names if other != name]
+    for other in rest:
+        fleet.views[other].set_routers(rest)
 
 
-async def test_new_owner_knows_the_permits_of_the_lost_one(
-    nursery, autojump_clock
-):
-    # the owner's VM dies with 30 permits out; a new owner that started from
-    # nothing would see empty engines and load them to twice the bound
+async def test_permits_are_registered_with_a_new_owner(nursery, autojump_clock):
+    # The owner's VM dies while 30 permits are in use. A new owner that did not
+    # know them would see idle engines and load them to twice the bound.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     await fill(fleet, 30)
     await trio.sleep(1)
     lost = fleet.owner()
-    gone = len(fleet.admissions[lost].held)
-    lose(fleet, lost)
+    lost_permits = len(fleet.admissions[lost].held)
+    kill_router(fleet, lost)
     await trio.sleep(1)
     owner = fleet.owner()
 
     group = next(iter(fleet.admissions[owner].owner.owned.values()))
 
     assert owner != lost
-    assert len(group.table.permits) == 30 - gone
+    assert len(group.table.permits) == 30 - lost_permits
 
 
-async def test_chats_stay_where_they_are_when_the_owner_is_lost(
+async def test_chats_keep_their_places_when_the_owner_is_lost(
     nursery, autojump_clock
 ):
-    # the owner dies with its table of places; without the standby's copy
-    # every returning chat's context would be computed anew elsewhere
+    # The owner dies and its table of places is lost. Without the standby's
+    # replica every returning chat's context would be recomputed elsewhere.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     before = {}
     for number in range(1, 41):
@@ -62,7 +60,7 @@
         before[number] = permit.upstream.id
         entry.release(permit, 'complete')
     await trio.sleep(3)
-    lose(fleet, fleet.owner())
+    kill_router(fleet, fleet.owner())
     await trio.sleep(1)
     entry = fleet.admissions[fleet.owner()]
     same = 0
@@ -74,13 +72,13 @@
     assert same == 40
 
 
-async def test_places_that_were_lost_on_the_way_to_the_standby_go_again(
+async def test_places_lost_in_transit_to_the_standby_are_sent_again(
     nursery, autojump_clock
 ):
-    # The connection of an owner to its standby is down for three seconds,
-    # in which chats get their places. The copies of these counted as told
-    # when they were queued and were never sent again: the owner died later,
-    # and the contexts of these chats were computed anew elsewhere.
+    # The connection of an owner to its standby is down for three seconds
+    # while chats get their places. If places counted as replicated when they
+    # were queued, they were never sent again: after the owner's death the
+    # contexts of these chats were recomputed elsewhere.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     owner = fleet.owner()
     group = fleet.admissions[owner].directory.groups()[0]
@@ -96,7 +94,7 @@
     await trio.sleep(3)
     fleet.network.mend(owner, standby)
     await trio.sleep(5)
-    lose(fleet, owner)
+    kill_router(fleet, owner)
     await trio.sleep(1)
     assert fleet.owner() == standby
     entry = fleet.admissions[standby]
@@ -110,8 +108,8 @@
 
 
 async def test_lost_release_does_not_leak_load(nursery, autojump_clock):
-    # the connection to the owner breaks while a release is on the way: the
-    # engine would look loaded for ever
+    # The connection to the owner breaks while a release is in transit: the
+    # engine would appear loaded for ever.
     fleet = fakes.Fleet(nursery, routers=3, engines=2)
     owner = fleet.owner()
     entry = next(name for name in fleet.names if name != owner)
@@ -127,12 +125,14 @@
     assert not group.table.permits
 
 
-async def test_entry_that_dies_frees_its_permits(nursery, autojump_clock):
+async def test_permits_of_a_dead_entry_router_are_freed(
+    nursery, autojump_clock
+):
     fleet = fakes.Fleet(nursery, routers=3, engines=2)
     await fill(fleet, 6)
     owner = fleet.owner()
     entry = next(name for name in fleet.names if name != owner)
-    lose(fleet, entry)
+    kill_router(fleet, entry)
     await trio.sleep(1)
 
     group = next(iter(fleet.admissions[owner].owner.owned.values()))
@@ -143,10 +143,10 @@
 async def test_two_owners_share_the_headroom_between_reports(
     nursery, autojump_clock
 ):
-    # half of the routers see the owner as gone for five seconds and ask the
-    # next one; each of the two sees the other's permits only in reports that
-    # are a second old. Both filling the same headroom, engines would stand
-    # at nearly twice the bound
+    # Half of the routers regard the owner as dead for five seconds and use the
+    # next one. Each of the two owners sees the other's permits only in reports
+    # that are a second old. If both filled the same headroom, engines would be
+    # at nearly twice the bound.
     fleet = fakes.Fleet(nursery, routers=6, engines=4)
     await fill(fleet, 40)
     fleet.report(fleet.loads())
@@ -156,9 +156,9 @@
     for name in others[:3]:
         fleet.views[name].set_routers(others)
     await trio.sleep(0.1)
-    most = []
+    excess = []
 
-    async def ask(number):
+    async def acquire(number):
         entry = fleet.admissions[fleet.names[number % 6]]
         with trio.move_on_after(4):
             await entry.acquire(fleet.ask(number))
@@ -166,21 +166,22 @@
             allowed = placement.allowed_load(
                 fleet.pool, sum(loads.values()) - 1, 4
             )
-            most.append(max(loads.values()) - allowed)
+            excess.append(max(loads.values()) - allowed)
 
-    async with trio.open_nursery() as asking:
+    async with trio.open_nursery() as requests:
         for number in range(100, 130):
-            asking.start_soon(ask, number)
+            requests.start_soon(acquire, number)
 
-    assert most
-    assert max(most) <= 1
+    assert excess
+    assert max(excess) <= 1
 
 
-async def test_entry_knows_first_that_an_upstream_is_leaving(
+async def test_entry_router_rejects_a_grant_on_a_leaving_upstream(
     nursery, autojump_clock
 ):
-    # the VM list tells the entry that an engine is leaving, the owner hears
-    # it seconds later and still grants it: nothing new may be sent there
+    # The entry router learns from the VM list that an engine is leaving; the
+    # owner learns it seconds later and still grants permits on it. No new
+    # request may be sent there.
     fleet = fakes.Fleet(nursery, routers=3, engines=3)
     owner = fleet.owner()
     entry = next(name for name in fleet.names if name != owner)
@@ -188,13 +189,13 @@
 
     used = []
 
-    async def ask(number):
+    async def acquire(number):
         permit = await fleet.admissions[entry].acquire(fleet.ask(number))
         used.append(permit.upstream.id)
 
-    async with trio.open_nursery() as asking:
+    async with trio.open_nursery() as requests:
         for number in range(20):
-            asking.start_soon(ask, number)
+            requests.start_soon(acquire, number)
         await trio.sleep(3)
         fleet.views[owner].set_upstreams(fleet.vms[1:])
 
@@ -202,10 +203,10 @@
     assert set(used) == {'engine-1', 'engine-2'}
 
 
-async def test_no_owner_reachable_admits_within_the_own_share(
+async def test_degraded_mode_admits_within_the_own_share(
     nursery, autojump_clock
 ):
-    # the owner is cut off from everybody and no view shows it yet
+    # The owner is cut off from all other routers, but still in their views.
     fleet = fakes.Fleet(nursery, routers=4, engines=4)
     fleet.report({vm.id: 8 for vm in fleet.vms})
     owner = fleet.owner()
@@ -214,7 +215,7 @@
         fleet.network.cut(owner, name)
     granted = []
 
-    async def ask(number):
+    async def acquire(number):
         entry = fleet.admissions[rest[number % 3]]
         with trio.move_on_after(3):
             granted.append(await entry.acquire(fleet.ask(number)))
@@ -223,10 +224,10 @@
         await trio.sleep(1)
         fleet.report({vm.id: 8 for vm in fleet.vms})
 
-    async with trio.open_nursery() as asking:
-        asking.start_soon(report)
+    async with trio.open_nursery() as requests:
+        requests.start_soon(report)
         for number in range(60):
-            asking.start_soon(ask, number)
+            requests.start_soon(acquire, number)
 
     loads = fleet.loads()
     allowed = placement.allowed_load(fleet.pool, 32, 4)
@@ -236,8 +237,8 @@
 
 
 async def test_waiting_requests_move_to_the_next_owner(nursery, autojump_clock):
-    # the owner dies while requests wait in its queue: they must not stay
-    # there until their deadline
+    # The owner dies while requests wait in its queue: they must not wait for
+    # it until their deadline.
     pool = configuration.Pool('chat', 'model', max_load=1)
     fleet = fakes.Fleet(nursery, routers=4, engines=1, pool=pool)
     lost = fleet.owner()
@@ -245,13 +246,13 @@
     first = await fleet.admissions[rest[0]].acquire(fleet.ask(1))
     done = []
 
-    async def ask():
+    async def acquire():
         permit = await fleet.admissions[rest[1]].acquire(fleet.ask(2))
         done.append((trio.current_time(), permit))
 
-    nursery.start_soon(ask)
+    nursery.start_soon(acquire)
     await trio.sleep(2)
-    lose(fleet, lost)
+    kill_router(fleet, lost)
     await trio.sleep(1)
     fleet.admissions[rest[0]].release(first, 'complete')
     await trio.sleep(2)
@@ -260,16 +261,16 @@
     assert done[0][0] < 5.5
 
 
-async def test_pool_full_is_told_at_once_when_the_queue_is_too_long(
+async def test_request_that_cannot_be_served_in_time_is_refused_at_once(
     nursery, autojump_clock
 ):
-    # a request that cannot be served in time must not be held back until
-    # its deadline: its caller is told now, and when to come again
+    # A request that cannot be served in time must not wait until its
+    # deadline: it is refused at once, with the time after which to retry.
     pool = configuration.Pool('chat', 'model', max_load=1)
     fleet = fakes.Fleet(nursery, routers=1, engines=1, pool=pool)
     entry = fleet.admissions['router-0']
 
-    async def keep_busy(number):
+    async def occupy(number):
         permit = await entry.acquire(
             fleet.ask(number, deadline=trio.current_time() + 600)
         )
@@ -277,7 +278,7 @@
         entry.release(permit, 'complete')
 
     for number in range(40):
-        nursery.start_soon(keep_busy, number)
+        nursery.start_soon(occupy, number)
     await trio.sleep(10)
     started = trio.current_time()
 
@@ -288,7 +289,7 @@
     assert caught.value.retry_after > 20
 
 
-async def test_small_customer_passes_the_queue_of_a_surging_one(
+async def test_small_customer_is_served_before_the_queue_of_a_surge(
     nursery, autojump_clock
 ):
     pool = configuration.Pool('chat', 'model', max_load=2, max_waiting=50)
@@ -320,7 +321,7 @@
     assert refused
 
 
-async def test_instant_requests_find_room_in_a_full_pool(
+async def test_instant_requests_are_granted_in_a_full_pool(
     nursery, autojump_clock
 ):
     pool = configuration.Pool('chat', 'model', max_load=10)
@@ -342,9 +343,9 @@
     assert trio.current_time() - started < 0.01
 
 
-async def test_joining_engine_pulls_no_returning_chat(nursery, autojump_clock):
-    # an engine joins with an empty cache and no load; returning chats that
-    # went there would have their contexts computed anew for nothing
+async def test_joining_engine_gets_no_returning_chat(nursery, autojump_clock):
+    # An engine joins with an empty cache and no load: the contexts of
+    # returning chats sent there would be recomputed without need.
     fleet = fakes.Fleet(nursery, routers=2, engines=3)
     entry = fleet.admissions['router-0']
     before = {}
@@ -362,9 +363,9 @@
         entry.release(permit, 'complete')
 
 
-async def test_groups_of_a_pool_keep_one_bound(nursery, autojump_clock):
-    # three groups with owners of their own; each knows its engines only and
-    # hears of the others' load every half second
+async def test_groups_of_a_pool_share_one_bound(nursery, autojump_clock):
+    # Three groups have an owner each, which knows only the permits of its own
+    # engines and gets the others' load totals every half second.
     pool = configuration.Pool('chat', 'model', groups=3)
     fleet = fakes.Fleet(nursery, routers=5, engines=9, pool=pool)
     await trio.sleep(1)
@@ -379,22 +380,22 @@
     assert max(loads.values()) <= 1.25 * 120 / 9 + 1
 
 
-async def test_permits_of_a_router_taken_for_dead_in_error_count_again(
+async def test_permits_of_a_router_wrongly_regarded_as_dead_count_again(
     nursery, autojump_clock
 ):
-    # Two routers are cut off for a moment, the owner takes them for dead and
-    # frees their permits, and they go on asking it. What they sent still
-    # runs, but the owner does not count it: engines get more than the bound.
-    # To the routers the owner never changed, so that they list what they
-    # hold only after two heartbeats that differ, some seconds later.
+    # The owner regards two routers as dead for a short time and frees their
+    # permits, but they continue to use it. Their requests still run, and
+    # without being counted they would let engines exceed the bound. By the
+    # routers' view the owner never changed, so they would list their permits
+    # only after two heartbeats that differ, some seconds later.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     await trio.sleep(1)
     owner = fleet.owner()
-    kept, *lost = [name for name in fleet.names if name != owner]
+    kept, *dropped = [name for name in fleet.names if name != owner]
     await fill(fleet, 20)
     fleet.views[owner].set_routers([owner, kept])
     await trio.sleep(0.1)
-    for number, name in enumerate(lost):
+    for number, name in enumerate(dropped):
         await fleet.admissions[name].acquire(fleet.ask(100 + number))
     await trio.sleep(0.1)
 
@@ -407,8 +408,9 @@
 async def test_router_back_in_the_view_is_asked_for_its_permits(
     nursery, autojump_clock
 ):
-    # As above, but the routers ask for nothing after they were taken for
-    # dead: the requests of others would fill the engines beside theirs.
+    # As above, but the routers request no permits after they were regarded as
+    # dead: other routers' requests would fill the engines in addition to
+    # theirs.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     await trio.sleep(1)
     owner = fleet.owner()
--- a/tests/test_coordination/test_admission_grants.py
+++ b/tests/test_coordination/test_admission_grants.py
@@ -19,7 +19,9 @@
         assert max(loads.values()) <= allowed
 
 
-async def test_returning_chat_goes_where_it_was(nursery, autojump_clock):
+async def test_returning_chat_gets_the_upstream_with_its_context(
+    nursery, autojump_clock
+):
     fleet = fakes.Fleet(nursery, engines=5)
     ask = fleet.ask(7)
     first = await fleet.admissions['router-0'].acquire(ask)
@@ -32,7 +34,7 @@
     assert second.reason == placement.HELD_CHAT
 
 
-async def test_unknown_pool_is_no_upstream(nursery, autojump_clock):
+async def test_unknown_pool_raises_no_upstream(nursery, autojump_clock):
     fleet = fakes.Fleet(nursery)
 
     with pytest.raises(errors.NoUpstream):
--- a/tests/test_coordination/test_admission_views.py
+++ b/tests/test_coordination/test_admission_views.py
@@ -1,4 +1,4 @@
-"""The bound on engines while routers disagree on who owns them."""
+"""The bound on engine load while routers disagree on the owner."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from tests.integration import checkers
 
 Cuts = disagreeing_fleet.Cuts
-Troubles = disagreeing_fleet.Troubles
-TROUBLES = {
-    'cut-from-some': Troubles(Cuts.SOME),
-    'cut-from-all': Troubles(Cuts.ALL),
-    'cut-and-stalled': Troubles(Cuts.ALL, stalls=True),
+Faults = disagreeing_fleet.Faults
+FAULTS = {
+    'cut-from-some': Faults(Cuts.SOME),
+    'cut-from-all': Faults(Cuts.ALL),
+    'cut-and-stalled': Faults(Cuts.ALL, stalls=True),
 }
 CHATS = 24
-# one for the disagreement, one for messages on the way
+# one request for the second owner, one for messages in transit
 SLACK = 2
-LONG_SECONDS = 20.0
+LONG_SERVICE_SECONDS = 20.0
 RUNNING = 8
 ENDED = 6
-ALONE_SECONDS = 3.0
+ACQUIRE_SECONDS = 3.0
 
 
 @pytest.fixture
@@ -33,15 +33,15 @@
     return await disagreeing_fleet.make_fleet(nursery, seed=1)
 
 
-def bound_of(running):
-    """Returns the bound by what runs on the engines in truth."""
+def actual_bound(running):
+    """Returns the bound computed from the requests that really run."""
     return placement.allowed_load(
         disagreeing_fleet.POOL, sum(running.values()), len(running)
     )
 
 
-def swamped(fleet):
-    """Returns permits that were granted above the bound."""
+def permits_above_bound(fleet):
+    """Returns the permits that were granted above the bound."""
     pool = disagreeing_fleet.POOL
     return checkers.bounded_load(
         fleet.held, fleet.engines, pool.bound, pool.floor, SLACK
@@ -49,118 +49,124 @@
 
 
 async def fill(fleet, nursery, names, count, first=0):
-    """Has requests begin that last long, through some routers in turn."""
+    """Starts long requests through some routers in turn."""
     for number in range(first, first + count):
         name = names[number % len(names)]
-        nursery.start_soon(fleet.serve, name, number, LONG_SECONDS)
+        nursery.start_soon(fleet.serve, name, number, LONG_SERVICE_SECONDS)
         await trio.sleep(0.02)
 
 
 @pytest.mark.parametrize('seed', [73, 102, 110, 111])
-@pytest.mark.parametrize('troubles', TROUBLES.values(), ids=list(TROUBLES))
+@pytest.mark.parametrize('faults', FAULTS.values(), ids=list(FAULTS))
 async def test_no_engine_is_swamped_while_routers_are_cut_one_way(
-    nursery, autojump_clock, seed, troubles
+    nursery, autojump_clock, seed, faults
 ):
-    # routers that are cut one way disagree on who owns the engines
+    # Guards against overload while routers disagree on the owner, because
+    # messages between them are lost in one direction.
     fleet = await disagreeing_fleet.make_fleet(nursery, seed)
-    await fleet.play(CHATS, troubles)
+    await fleet.run_load(CHATS, faults)
 
     assert len(fleet.held) > 10 * CHATS
-    assert swamped(fleet) == []
+    assert permits_above_bound(fleet) == []
 
 
 @pytest.mark.parametrize(
-    ('seed', 'troubles'), [(2, 'cut-from-all'), (3, 'cut-and-stalled')]
+    ('seed', 'faults'), [(2, 'cut-from-all'), (3, 'cut-and-stalled')]
 )
-async def test_no_engine_of_a_larger_pool_is_swamped(
-    nursery, autojump_clock, seed, troubles
+async def test_no_engine_of_a_larger_pool_exceeds_the_bound(
+    nursery, autojump_clock, seed, faults
 ):
-    # eight routers are cut off in turn, and up to four of them own the engines
+    # Eight routers are cut off in turn: up to four of them act as the owner
+    # at the same time.
     fleet = await disagreeing_fleet.make_fleet(nursery, seed, 8, 9)
-    await fleet.play(2 * CHATS, TROUBLES[troubles])
+    await fleet.run_load(2 * CHATS, FAULTS[faults])
 
-    assert swamped(fleet) == []
+    assert permits_above_bound(fleet) == []
 
 
-async def test_grants_that_never_arrive_do_not_raise_the_bound(
+async def test_lost_grants_do_not_raise_the_bound(
     fleet, nursery, autojump_clock
 ):
-    # answers to one router are lost: what it was granted loads no engine
+    # The owner's answers to one router are lost: the permits granted to it
+    # load no engine, but counted in the mean they would raise the bound.
     owner = fleet.owner()
-    deaf, *others = [name for name in fleet.names if name != owner]
+    cut_off, *others = [name for name in fleet.names if name != owner]
     await fill(fleet, nursery, others, RUNNING)
-    fleet.network.cut.add((owner, deaf))
-    await fill(fleet, nursery, [deaf], 15, first=100)
+    fleet.network.cut.add((owner, cut_off))
+    await fill(fleet, nursery, [cut_off], 15, first=100)
     await trio.sleep(0.1)
-    await fill(fleet, nursery, [deaf], 1, first=200)
+    await fill(fleet, nursery, [cut_off], 1, first=200)
 
     assert sum(fleet.running.values()) == RUNNING
     assert len(fleet.loads_at(owner).table.permits) >= RUNNING + 3
-    assert fleet.allowed_at(owner) <= bound_of(fleet.running)
+    assert fleet.allowed_at(owner) <= actual_bound(fleet.running)
 
 
 @pytest.fixture
-async def ended(fleet, nursery):
-    """A router whose requests end soon, beside some of the owner's own."""
+async def short_entry(fleet, nursery):
+    """An entry router with short requests; the owner runs some of its own."""
     owner = fleet.owner()
-    one = next(name for name in fleet.names if name != owner)
+    entry = next(name for name in fleet.names if name != owner)
     for number in range(40):
-        nursery.start_soon(fleet.serve, one, number, 0.1)
+        nursery.start_soon(fleet.serve, entry, number, 0.1)
         await trio.sleep(0.02)
     await trio.sleep(0.5)
     await fill(fleet, nursery, [owner], RUNNING, first=200)
     for number in range(100, 100 + ENDED):
-        nursery.start_soon(fleet.serve, one, number, 0.2)
+        nursery.start_soon(fleet.serve, entry, number, 0.2)
         await trio.sleep(0.01)
-    return one
+    return entry
 
 
-async def test_releases_that_never_arrive_do_not_raise_the_bound(
-    fleet, ended, autojump_clock
+async def test_lost_releases_do_not_raise_the_bound(
+    fleet, short_entry, autojump_clock
 ):
-    # what one router says is lost: its requests end, its permits stay
+    # The messages of one router to the owner are lost: its requests end but
+    # its permits stay in the owner's table.
     owner = fleet.owner()
-    fleet.network.cut.add((ended, owner))
+    fleet.network.cut.add((short_entry, owner))
     await trio.sleep(0.3)
 
     assert sum(fleet.running.values()) == RUNNING
     assert len(fleet.loads_at(owner).table.permits) >= RUNNING + 3
-    assert fleet.allowed_at(owner) <= bound_of(fleet.running)
+    assert fleet.allowed_at(owner) <= actual_bound(fleet.running)
 
 
 async def test_permits_of_another_owner_do_not_raise_the_bound(
-    fleet, ended, autojump_clock
+    fleet, short_entry, autojump_clock
 ):
-    # a router that asks another owner does not tell this one of any end
+    # A router that uses another owner sends its releases there: its permits
+    # stay in this owner's table.
     owner = fleet.owner()
     loads = fleet.loads_at(owner)
-    hand_over(fleet.admissions[ended], ended)
+    take_ownership(fleet.admissions[short_entry], short_entry)
     await trio.sleep(0.3)
 
     assert sum(fleet.running.values()) == RUNNING
     assert len(loads.table.permits) >= RUNNING + 3
-    assert fleet.allowed_at(owner) <= bound_of(fleet.running)
+    assert fleet.allowed_at(owner) <= actual_bound(fleet.running)
 
 
-def hand_over(admission, name):
-    """Has a router take itself for the owner."""
+def take_ownership(admission, name):
+    """Makes a router regard itself as the owner."""
     (group,) = admission.owners
     before = admission.owners[group]
     admission.owners[group] = name
-    admission.tell(before, messages.PermitMoved(group.pool, group.index))
+    admission.send_notice(before, messages.PermitMoved(group.pool, group.index))
     admission.register(group, name, list(admission.held.values()))
 
 
 @pytest.mark.parametrize('how', ['silent', 'moved'])
-async def test_engine_that_reports_less_has_room_again(
-    fleet, ended, how, autojump_clock
+async def test_lower_load_report_frees_unused_permits(
+    fleet, short_entry, how, autojump_clock
 ):
-    # permits that load nothing and are never given back kept engines full
+    # Permits that are not in use but whose releases never arrive must not
+    # keep engines full once load reports show that nothing runs.
     owner = fleet.owner()
     if how == 'silent':
-        fleet.network.cut.add((ended, owner))
+        fleet.network.cut.add((short_entry, owner))
     else:
-        hand_over(fleet.admissions[ended], ended)
+        take_ownership(fleet.admissions[short_entry], short_entry)
     await trio.sleep(1.5)
 
     table = fleet.loads_at(owner).table
@@ -168,10 +174,9 @@
     assert loads == fleet.running
 
 
-async def test_router_that_sees_nobody_else_takes_its_part_only(
-    nursery, autojump_clock
-):
-    # each of four routers that see nobody else is the only owner
+async def test_isolated_routers_use_only_their_share(nursery, autojump_clock):
+    # Each of four routers regards all others as dead and itself as the only
+    # owner: each must use only its share of the headroom.
     fleet = fakes.Fleet(nursery, routers=4, engines=4)
     await trio.sleep(1)
     fleet.report({vm.id: 0 for vm in fleet.vms})
@@ -179,23 +184,23 @@
         fleet.views[name].set_routers([name])
     await trio.sleep(0.1)
     fleet.report({vm.id: 0 for vm in fleet.vms})
-    full, *others = [vm.id for vm in fleet.vms]
+    target, *others = [vm.id for vm in fleet.vms]
 
-    async def ask(number):
+    async def acquire(number):
         entry = fleet.admissions[fleet.names[number % 4]]
-        with trio.move_on_after(ALONE_SECONDS):
+        with trio.move_on_after(ACQUIRE_SECONDS):
             await entry.acquire(fleet.ask(number, avoid=tuple(others)))
 
-    async with trio.open_nursery() as asking:
+    async with trio.open_nursery() as requests:
         for number in range(20):
-            asking.start_soon(ask, number)
+            requests.start_soon(acquire, number)
 
-    load = fleet.loads()[full]
+    load = fleet.loads()[target]
     allowed = placement.allowed_load(fleet.pool, load, 4)
     assert 0 < load <= allowed + len(fleet.names) - 1
 
 
-async def test_router_lost_for_long_has_no_part(nursery, autojump_clock):
+async def test_router_lost_for_long_has_no_share(nursery, autojump_clock):
     fleet = fakes.Fleet(nursery, routers=3, engines=2)
     view = fleet.views[fleet.names[0]]
     routers = live_routers.LiveRouters(view)
@@ -207,10 +212,11 @@
     assert routers.names() == fleet.names[:2]
 
 
-async def test_parts_of_routers_that_see_nobody_else_add_up(
+async def test_degraded_shares_of_isolated_routers_add_up(
     nursery, autojump_clock
 ):
-    # no owner answers, and each router would take the whole half for its part
+    # No owner answers and each router regards all others as dead: each would
+    # use the whole shared half of the headroom.
     fleet = fakes.Fleet(nursery, routers=4, engines=2)
     await trio.sleep(1)
     fleet.report({vm.id: 4 for vm in fleet.vms})
@@ -222,10 +228,11 @@
 
 
 @pytest.mark.parametrize('service', [0.0, 1.0])
-async def test_old_reports_of_others_load_do_not_raise_a_new_owners_bound(
+async def test_old_reports_do_not_raise_the_bound_of_a_new_owner(
     nursery, autojump_clock, service
 ):
-    # the owner dies, what it had granted ends, and reports from before stay
+    # The owner dies and the requests it admitted end, but load reports from
+    # before still count them.
     fleet = fakes.Fleet(nursery, routers=4, engines=5)
     await trio.sleep(1)
     fleet.report({vm.id: 12 for vm in fleet.vms})
@@ -241,11 +248,11 @@
     entry.release(await entry.acquire(fleet.ask(1)), 'complete')
     await trio.sleep(0.1)
     (group,) = entry.owner.owned.values()
-    group.loads.rates.service = service
+    group.loads.rates.service_seconds = service
     candidates = [
         placement.Candidate(vm.id, '', group.loads.load(vm.id, 0.25))
         for vm in group.loads.upstreams()
     ]
 
-    assert [one.load for one in candidates] == [12] * 5
+    assert [candidate.load for candidate in candidates] == [12] * 5
     assert group.loads.allowed(candidates) == fleet.pool.floor
--- a/tests/test_coordination/test_fairness.py
+++ b/tests/test_coordination/test_fairness.py
@@ -22,7 +22,7 @@
     assert first.count('small') == 2
 
 
-def test_smaller_priority_goes_first():
+def test_lower_priority_value_is_dequeued_first():
     queue = fairness.FairQueue()
     queue.push(Item('normal'), 2, 1, 1.0)
     queue.push(Item('instant'), 0, 1, 1.0)
@@ -30,7 +30,7 @@
     assert [item.name for item in queue] == ['instant', 'normal']
 
 
-def test_idle_customer_saves_up_no_turns():
+def test_idle_customer_accumulates_no_turns():
     queue = fairness.FairQueue()
     busy = [Item(f'busy-{number}') for number in range(10)]
     for item in busy:
@@ -60,7 +60,7 @@
     assert [item.name for item in queue] == ['b1', 'a1']
 
 
-def test_removed_items_leave_nothing_behind():
+def test_removed_items_leave_no_state():
     queue = fairness.FairQueue()
     items = [Item(str(number)) for number in range(50)]
     for number, item in enumerate(items):
@@ -71,13 +71,13 @@
         queue.take(item)
 
     assert len(queue) == 0
-    assert not queue.places
-    assert not queue.at
+    assert not queue.positions
+    assert not queue.item_at
     assert not queue.by_customer
-    assert not queue.ends
+    assert not queue.finish
 
 
-def test_fair_level_gives_small_customers_what_they_want():
+def test_fair_level_meets_the_demand_of_small_customers():
     demands = [
         shares.Demand(1, 5, 1.0),
         shares.Demand(2, 10, 1.0),
@@ -90,7 +90,7 @@
     assert level == 30.0
 
 
-def test_no_level_while_all_find_room():
+def test_level_is_infinite_while_all_demand_is_met():
     demands = [shares.Demand(1, 5, 1.0), shares.Demand(2, 10, 1.0)]
 
     assert shares.fair_level(demands, 15) == float('inf')
--- a/tests/test_coordination/test_retries.py
+++ b/tests/test_coordination/test_retries.py
@@ -9,7 +9,7 @@
 
 
 async def test_budget_is_a_share_of_the_traffic(autojump_clock):
-    # every request of a pool fails. Without a budget each would be tried
+    # Every request of a pool fails. Without a budget each would be tried
     # three times, and the failing pool would get three times its load.
     budget = retries.RetryBudget(
         retries.RetrySettings(share=0.1, minimum=0.0, burst=10.0)
@@ -37,7 +37,7 @@
     assert not budget.try_take()
 
 
-async def test_budget_does_not_gather_beyond_its_burst(autojump_clock):
+async def test_budget_does_not_accumulate_beyond_its_burst(autojump_clock):
     budget = retries.RetryBudget(retries.RetrySettings(burst=3.0))
     await trio.sleep(3600)
     for _ in range(1000):
@@ -84,8 +84,8 @@
     assert retries.earlier_attempts({retries.ATTEMPT_HEADER: text}) == count
 
 
-def test_a_retry_of_an_earlier_hop_is_not_tried_again():
-    # a caller behind another router sends its second attempt. Were it tried
-    # again at each hop, attempts would multiply.
+def test_retry_of_an_earlier_hop_is_not_retried():
+    # A request that arrives through another router is already a second
+    # attempt. If it were retried at each hop, attempts would multiply.
     assert retries.may_retry({})
     assert not retries.may_retry({retries.ATTEMPT_HEADER: '1'})
