--- a/lavenderbend/coordination/admission/acquisition.py
+++ b/lavenderbend/coordination/admission/acquisition.py
@@ -278,7 +278,7 @@
     def admit_degraded(self, group: groups.GroupId) -> interfaces.Permit | None:
         """Returns a permit within this entry router's share, if any."""
         if self.ask.suspect:
-            # suspects cannot be kept apart without an owner
+            # without an owner, two suspects could be sent to one upstream
             return None
         admission = self.admission
         ask = self.ask
--- a/lavenderbend/coordination/admission/loads.py
+++ b/lavenderbend/coordination/admission/loads.py
@@ -319,9 +319,9 @@
             self.predates_ownership(candidate.upstream)
             for candidate in candidates
         ):
-            # What the previous owner granted and got back since is not known:
-            # by the mean of such reports each upstream would get one request
-            # too many.
+            # The previous owner's grants and releases since the report are
+            # not known: by the mean of such reports each upstream would get
+            # one request too many.
             load -= round(foreign_ended)
         else:
             possibly_ended += foreign_ended
--- a/lavenderbend/coordination/admission/request_queue.py
+++ b/lavenderbend/coordination/admission/request_queue.py
@@ -224,7 +224,7 @@
             return ServeResult.LATER
         if choice.reason != placement.HELD_CHAT:
             waiter, choice = self.swap_for_context(waiter, choice)
-        self.queue.take(waiter)
+        self.queue.dequeue(waiter)
         self.remove(waiter)
         self.grant(waiter, choice)
         return ServeResult.DECIDED
--- a/lavenderbend/coordination/fairness.py
+++ b/lavenderbend/coordination/fairness.py
@@ -114,7 +114,7 @@
         self.item_at[first] = right
         self.item_at[second] = left
 
-    def take(self, item: T) -> None:
+    def dequeue(self, item: T) -> None:
         """Dequeues an item and advances the virtual time to its start tag."""
         position = self.positions.get(id(item))
         if position is None:
--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -136,7 +136,7 @@
         """Ids of the engines."""
         return list(self.running)
 
-    def ask(self, chat: int) -> interfaces.PermitAsk:
+    def permit_ask(self, chat: int) -> interfaces.PermitAsk:
         """Returns the argument of `acquire` for a chat."""
         return interfaces.PermitAsk(
             request_id=f'request-{len(self.held)}',
@@ -154,7 +154,7 @@
         """Runs one request, if it is admitted."""
         entry = self.admissions[router]
         try:
-            permit = await entry.acquire(self.ask(chat))
+            permit = await entry.acquire(self.permit_ask(chat))
         except errors.RequestError:
             return
         index = self.record_permit(router, permit)
--- a/tests/test_coordination/test_fairness.py
+++ b/tests/test_coordination/test_fairness.py
@@ -36,7 +36,7 @@
     for item in busy:
         queue.push(item, 2, 1, 1.0)
     for item in busy[:5]:
-        queue.take(item)
+        queue.dequeue(item)
     late = [Item(f'late-{number}') for number in range(3)]
     for item in late:
         queue.push(item, 2, 2, 1.0)
@@ -55,7 +55,7 @@
     queue.push(items['a2'], 2, 1, 1.0)
 
     queue.swap(items['a1'], items['a2'])
-    queue.take(items['a2'])
+    queue.dequeue(items['a2'])
 
     assert [item.name for item in queue] == ['b1', 'a1']
 
@@ -68,7 +68,7 @@
     for item in items[::2]:
         queue.remove(item)
     for item in items[1::2]:
-        queue.take(item)
+        queue.dequeue(item)
 
     assert len(queue) == 0
     assert not queue.positions
--- a/tests/test_coordination/test_placement_cache_transfer.py
+++ b/tests/test_coordination/test_placement_cache_transfer.py
@@ -85,7 +85,7 @@
         ask = fleet.ask(number, prompt_tokens=5000)
         entry.release(await entry.acquire(ask), 'complete')
     group = next(iter(owner.owner.owned.values()))
-    group.leaving.settings = settings
+    group.context_mover.settings = settings
     await trio.sleep(1)
     for view in fleet.views.values():
         view.set_upstreams(fleet.vms[1:])
