--- a/bench/fleet/prompts.py
+++ b/bench/fleet/prompts.py
@@ -217,14 +217,14 @@
         chats.cached.note_sent(
             ticket.need.chat, ticket.need.parts, name, elsewhere
         )
-        taken: reservations.Taken | None = ticket.taken
+        taken: reservations.ActiveReservation | None = ticket.taken
         if taken is not None:
-            taken.begun()
+            taken.note_begun()
         await trio.sleep(self.rng.expovariate(1.0 / RUN_SECONDS))
         chats.router.loads.end(name)
         engine.load -= 1
         if taken is not None:
-            taken.ended()
+            taken.note_ended()
 
     def note_load(self, engine: Engine) -> None:
         """Counts a request on an engine, against the bound of the fleet."""
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -27,7 +27,9 @@
 START_SECONDS = 0.3
 APPLY_SECONDS = 4.0
 REVOCATION_SECONDS = 5.0
-REPEATS = budget.RepeatSettings(share=0.2, extra=400.0, window_seconds=10.0)
+REPEATS = budget.RetryBudgetSettings(
+    share=0.2, extra=400.0, window_seconds=10.0
+)
 SEEDS = 3
 SERVICE = 'engines'
 
@@ -162,13 +164,13 @@
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
-        self.health.on_suspect = self.suspicions.tell
+        self.health.on_suspect = self.suspicions.announce
         self.directory = directory.Directory(self.snapshots)
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
         self.peers.on_learned[departures.LEFT] = self.departures.learn
-        self.budget = budget.RepeatBudget(REPEATS, self.peers.budget_parts)
+        self.budget = budget.RetryBudget(REPEATS, self.peers.budget_parts)
 
     def extra(self) -> float:
         """Returns the repeats that it may make without a request."""
--- a/bench/relay/forwarding.py
+++ b/bench/relay/forwarding.py
@@ -132,11 +132,11 @@
                 HEADERS,
             ),
             crashes.Crashes(exchanges.accepts, found),
-            silence.SilenceWatch(well),
+            silence.SilenceDetector(well),
             departures.Departures(followed, known, found),
             HEADERS,
         ),
-        budget.RepeatBudget(budget.RepeatSettings(), lambda: 7),
+        budget.RetryBudget(budget.RetryBudgetSettings(), lambda: 7),
     )
 
 
--- a/lavenderbend/coordination/forwarding/attempt_ends.py
+++ b/lavenderbend/coordination/forwarding/attempt_ends.py
@@ -32,7 +32,7 @@
     ticket: tickets.Ticket,
     upstream: forwarding.Upstream,
     answer: interfaces.CallerAnswer,
-    waiting: silence.Waiting,
+    waiting: silence.UpstreamWait,
     cause: BaseException,
 ) -> None:
     """Writes how an attempt ended, and how far it had come."""
@@ -72,7 +72,7 @@
 
 
 def waited_for(
-    answer: interfaces.CallerAnswer, waiting: silence.Waiting
+    answer: interfaces.CallerAnswer, waiting: silence.UpstreamWait
 ) -> str:
     """Returns who was waited for, empty if it was nobody."""
     if answer.mid_write:
--- a/lavenderbend/coordination/forwarding/attempts.py
+++ b/lavenderbend/coordination/forwarding/attempts.py
@@ -58,7 +58,7 @@
         loads: loads_module.Loads,
         requests: outgoing.OutgoingRequests,
         crashes: crashes_module.Crashes,
-        silence: silence_module.SilenceWatch,
+        silence: silence_module.SilenceDetector,
         departures: departing.Departures,
         headers: forwarding_settings.ForwardHeaders,
     ) -> None:
@@ -120,7 +120,7 @@
         finally:
             self.loads.end(upstream.instance)
             if ticket.taken is not None:
-                ticket.taken.ended()
+                ticket.taken.note_ended()
 
     async def open(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
@@ -147,7 +147,7 @@
 
         It may have left, or have asked for none, since it was chosen.
         """
-        if self.health.wants_none(upstream.instance):
+        if self.health.is_paused(upstream.instance):
             return False
         return upstream.instance in self.directory.candidates(service).by_name
 
@@ -157,7 +157,7 @@
         upstream: forwarding.Upstream,
         exchange: interfaces.Exchange,
         answer: interfaces.CallerAnswer,
-        waiting: silence_module.Waiting,
+        waiting: silence_module.UpstreamWait,
     ) -> None:
         """Runs the exchange.
 
@@ -185,7 +185,7 @@
         self.check_answer(head)
         self.requests.note_taken(ticket, upstream)
         if ticket.taken is not None:
-            ticket.taken.begun()
+            ticket.taken.note_begun()
         if ticket.rule.then.streaming and head.status < 300:
             await self.relay(ticket, exchange, head, answer, waiting)
             self.note_success(ticket, upstream)
@@ -199,7 +199,7 @@
         exchange: interfaces.Exchange,
         head: interfaces.AnswerHead,
         answer: interfaces.CallerAnswer,
-        waiting: silence_module.Waiting,
+        waiting: silence_module.UpstreamWait,
     ) -> None:
         """Passes an answer on that is read whole first.
 
@@ -217,7 +217,7 @@
             # a stream that is resumed has its head; a second one within it
             # would reach the caller as bytes of no answer
             raise errors.UpstreamError(f'answered {head.status} to a resume')
-        if failed and waiting.may_repeat():
+        if failed and waiting.may_retry():
             ticket.fallback = tickets.WholeAnswer(head, body)
             raise errors.UpstreamError(f'answered {head.status}')
         await answer.whole(head.status, head.headers, body)
@@ -258,7 +258,7 @@
         value = interfaces.header(head.headers, RETRY_AFTER)
         seconds = seconds_of(value)
         if seconds > 0.0:
-            self.health.note_unwanted(upstream.instance, seconds)
+            self.health.note_paused(upstream.instance, seconds)
 
     def says_not_run(self, head: interfaces.AnswerHead) -> bool:
         """Returns whether the upstream says that it did not run it."""
@@ -273,7 +273,7 @@
         upstream: forwarding.Upstream,
         exchange: interfaces.Exchange,
         head: interfaces.AnswerHead,
-        waiting: silence_module.Waiting,
+        waiting: silence_module.UpstreamWait,
     ) -> None:
         """Notes why the upstream refused.
 
@@ -332,7 +332,7 @@
         exchange: interfaces.Exchange,
         head: interfaces.AnswerHead,
         answer: interfaces.CallerAnswer,
-        waiting: silence_module.Waiting,
+        waiting: silence_module.UpstreamWait,
     ) -> None:
         """Passes a stream on, event by event.
 
@@ -345,7 +345,7 @@
             whole = cutter.feed(data)
             if not whole:
                 continue
-            waiting.flowing = True
+            waiting.streaming = True
             gaps = SILENT_GAPS * ticket.rule.then.max_gap
             waiting.limit = max(gaps, MIN_SILENT_SECONDS)
             if not answer.started:
@@ -375,7 +375,7 @@
 
 
 async def read_whole(
-    exchange: interfaces.Exchange, waiting: silence_module.Waiting
+    exchange: interfaces.Exchange, waiting: silence_module.UpstreamWait
 ) -> bytes:
     """Returns the whole body of an answer.
 
--- a/lavenderbend/coordination/forwarding/budget.py
+++ b/lavenderbend/coordination/forwarding/budget.py
@@ -1,4 +1,4 @@
-"""How many requests of a service may be sent once more."""
+"""Limits how many requests of a service may be retried."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# of what is allowed; the rest covers requests that were counted here and
-# that others count in another window
-USED_PART = 0.8
+# Fraction of the allowed retries that is used. The rest covers requests that
+# this router counts and that others count in another window.
+USABLE_FRACTION = 0.8
 
 DENIED = metrics.counter(
     'lavenderbend_forward_repeats_denied_total',
     'Repeats that the budget did not allow, by service.',
 )
-REPEATS = metrics.counter(
+RETRIES = metrics.counter(
     'lavenderbend_forward_repeats_total',
     'Requests sent once more, by service.',
 )
 
 
 @attrs.frozen
-class RepeatSettings:
-    """What the whole fleet may repeat.
+class RetryBudgetSettings:
+    """Retries that the whole fleet may make.
 
     Attributes:
-        share: Repeats for each request of a service.
-        extra: Repeats beside them, of the whole fleet.
+        share: Retries allowed for each request of a service.
+        extra: Retries allowed in addition, for the whole fleet.
         window_seconds: The time over which both are counted.
     """
 
@@ -42,50 +42,54 @@
     window_seconds: float = 10.0
 
 
-class Window:
-    """Moments within the last seconds."""
+class SlidingWindow:
+    """Counts events within the last seconds."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds = seconds
-        self.moments: collections.deque[float] = collections.deque()
+        self.timestamps: collections.deque[float] = collections.deque()
 
     def add(self) -> None:
-        """Adds this moment."""
-        self.moments.append(trio.current_time())
+        """Counts an event that happens now."""
+        self.timestamps.append(trio.current_time())
 
     def count(self) -> int:
-        """Returns how many moments are left."""
+        """Drops expired events and returns the number of the others."""
         oldest = trio.current_time() - self.seconds
-        while self.moments and self.moments[0] < oldest:
-            self.moments.popleft()
-        return len(self.moments)
+        while self.timestamps and self.timestamps[0] < oldest:
+            self.timestamps.popleft()
+        return len(self.timestamps)
 
 
-class RepeatBudget:
-    """This router's part of the fleet's repeats.
+class RetryBudget:
+    """This router's portion of the fleet's retry budget.
 
-    Each router repeats a share of its own requests, and its even part of
-    the extra. Until it knows by how many the extra is divided it has no part
-    of it: together they must not pass what the fleet is allowed, however
-    little they hear of each other.
+    Each router may retry a share of its own requests, and an equal portion
+    of the extra. While the divisor is unknown, the router has no portion of
+    the extra: together the routers must not exceed what the fleet is allowed,
+    even if they exchange few messages.
 
     Attributes:
-        settings: What the fleet may repeat.
-        parts: Returns by how many the extra is divided, 0 for unknown.
+        settings: Retries that the fleet may make.
+        divisor: Returns by how many the extra is divided, 0 for unknown.
+        requests: Requests by service.
+        retries: Retries by service.
     """
 
     def __init__(
-        self, settings: RepeatSettings, parts: Callable[[], int]
+        self, settings: RetryBudgetSettings, divisor: Callable[[], int]
     ) -> None:
         self.settings = settings
-        self.parts = parts
-        self.requests: dict[str, Window] = {}
-        self.repeats: dict[str, Window] = {}
-
-    def window(self, windows: dict[str, Window], service: str) -> Window:
-        """Returns the window of a service."""
+        self.divisor = divisor
+        self.requests: dict[str, SlidingWindow] = {}
+        self.retries: dict[str, SlidingWindow] = {}
+
+    def window(
+        self, windows: dict[str, SlidingWindow], service: str
+    ) -> SlidingWindow:
+        """Returns the window of a service, created if there is none."""
         if service not in windows:
-            windows[service] = Window(self.settings.window_seconds)
+            windows[service] = SlidingWindow(self.settings.window_seconds)
         return windows[service]
 
     def note_request(self, service: str) -> None:
@@ -95,22 +99,22 @@
         window.count()
 
     def allowed(self, service: str) -> float:
-        """Returns how many repeats a window may hold."""
+        """Returns how many retries this router may make within a window."""
         requests = self.window(self.requests, service).count()
-        parts = self.parts()
-        extra = self.settings.extra / parts if parts else 0.0
-        return USED_PART * (self.settings.share * requests + extra)
+        divisor = self.divisor()
+        extra = self.settings.extra / divisor if divisor else 0.0
+        return USABLE_FRACTION * (self.settings.share * requests + extra)
 
     def available(self, service: str) -> bool:
-        """Returns whether a repeat could be taken."""
-        window = self.window(self.repeats, service)
+        """Returns whether the budget allows one more retry."""
+        window = self.window(self.retries, service)
         return window.count() + 1 <= self.allowed(service)
 
     def try_take(self, service: str) -> bool:
-        """Takes a repeat if the budget allows it."""
+        """Takes a retry from the budget; returns whether it allows one."""
         if not self.available(service):
             DENIED.inc({'service': service})
             return False
-        self.window(self.repeats, service).add()
-        REPEATS.inc({'service': service})
+        self.window(self.retries, service).add()
+        RETRIES.inc({'service': service})
         return True
--- a/lavenderbend/coordination/forwarding/choice.py
+++ b/lavenderbend/coordination/forwarding/choice.py
@@ -249,23 +249,23 @@
     ) -> Apart:
         """Returns the upstreams that a request does not go to."""
         known = found.by_name.keys()
-        unwanting = known & self.health.wanting_none().keys()
+        unwanting = known & self.health.paused().keys()
         had = known & set(used)
         if len(had | unwanting) == len(known):
             # all have had it: one of them has it again
             had = frozenset()
-        avoided = known & self.health.held_back()
+        avoided = known & self.health.deprioritized()
         bound = self.allowed(found.places.sample)
         return Apart(had, avoided, bound, unwanting)
 
     def any_wants(self, service: str) -> bool:
         """Returns whether an upstream of a service takes requests now."""
         known = self.directory.candidates(service).by_name.keys()
-        return bool(known - self.health.wanting_none().keys())
+        return bool(known - self.health.paused().keys())
 
     def none_wanted(self, known: Collection[str]) -> Choice:
         """Returns that none of some upstreams wants a request now."""
-        wanting = self.health.wanting_none()
+        wanting = self.health.paused()
         soonest = min(wanting[name] for name in known)
         passed = [decisions.PassedOver(name, WANTS_NONE) for name in known]
         return Choice(
--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -68,7 +68,7 @@
         entry: entry_module.Entry,
         placing: placing_module.Placing,
         attempts: attempts_module.Attempts,
-        budget: budget_module.RepeatBudget,
+        budget: budget_module.RetryBudget,
     ) -> None:
         self.entry = entry
         self.placing = placing
@@ -165,7 +165,7 @@
             may_have_run=ticket is not None and ticket.may_have_run,
             last_event=None if ticket is None else ticket.cutter.read.number,
             peers=self.fleet_size(),
-            budget_parts=self.budget.parts(),
+            budget_parts=self.budget.divisor(),
             began=answer.started,
             seconds=round(seconds, 4),
         )
--- a/lavenderbend/coordination/forwarding/health.py
+++ b/lavenderbend/coordination/forwarding/health.py
@@ -1,4 +1,4 @@
-"""What answers show of upstreams that their own reports do not."""
+"""Health of upstreams, judged by their answers to this router's requests."""
 
 from __future__ import annotations
 
@@ -15,19 +15,23 @@
     from collections.abc import Collection
     from collections.abc import Iterable
 
-# failures fade by half in this time
+# Half-life of the failure and success counts.
 HALF_LIFE_SECONDS = 3.0
-# an upstream that fails four in ten of its requests passes this within three
-FAILURES_TO_AVOID = 1.6
-FAILED_SHARE_TO_AVOID = 0.3
+# Decayed number of failures from which an upstream may be avoided. One that
+# fails four in ten of its requests passes it within three.
+MIN_FAILURES_TO_AVOID = 1.6
+# An upstream is avoided if its failure fraction exceeds that of the service's
+# other upstreams by at least this.
+MIN_EXCESS_FRACTION = 0.3
 FIRST_AVOID_SECONDS = 1.0
 MAX_AVOID_SECONDS = 4.0
-# a full upstream has room again after a request or two
+# A full upstream has a free slot again after a request or two.
 FULL_SECONDS = 0.15
-# an upstream that asks for more by mistake must not be lost until it restarts
-MAX_UNWANTED_SECONDS = 300.0
-# a cause that this router has not seen itself
-FOUND_BY_OTHERS = 'found by others'
+# Limits a Retry-After that is too long by mistake: the upstream would get no
+# requests until it restarts.
+MAX_PAUSE_SECONDS = 300.0
+# The cause logged when other routers, not this one, reported the upstream.
+REPORTED_BY_PEERS = 'found by others'
 
 AVOIDED = metrics.counter(
     'lavenderbend_forward_avoided_total',
@@ -36,206 +40,217 @@
 
 
 @attrs.define
-class Record:
-    """What answers of one upstream showed lately.
+class HealthRecord:
+    """Recent results of requests to one upstream.
 
     Attributes:
-        failures: Failures, fading.
-        successes: Successes, fading.
-        at: Router clock of both.
-        avoid_until: Router clock until which others are preferred for what
-            its answers showed.
-        suspect_until: Router clock until which it is taken for dead or out
-            of reach.
-        full_until: Router clock until which it is taken for full.
-        unwanted_until: Router clock until which it wants nothing from this
-            router, by its own word.
-        rounds: How often it was avoided without a success between.
+        failures: Failures, decayed exponentially.
+        successes: Successes, decayed exponentially.
+        updated_at: Router clock of the last decay of both.
+        avoid_until: Router clock until which other upstreams are preferred
+            because of failures.
+        suspect_until: Router clock until which it is considered dead or
+            unreachable.
+        full_until: Router clock until which it is considered full.
+        paused_until: Router clock until which the upstream asked this router
+            to send it no requests.
+        consecutive_avoidances: How often it was avoided since its last
+            success.
     """
 
     failures: float = 0.0
     successes: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
     avoid_until: float = 0.0
     suspect_until: float = 0.0
     full_until: float = 0.0
-    unwanted_until: float = 0.0
-    rounds: int = 0
+    paused_until: float = 0.0
+    consecutive_avoidances: int = 0
 
     @property
-    def held_until(self) -> float:
+    def deprioritized_until(self) -> float:
         """Router clock until which others are preferred, for any cause."""
         return max(self.avoid_until, self.full_until)
 
-    def fade(self) -> None:
-        """Lets what was seen count less the longer ago it was."""
+    def decay(self) -> None:
+        """Applies exponential decay to both counts."""
         now = trio.current_time()
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE_SECONDS)
+        factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_SECONDS)
         self.failures *= factor
         self.successes *= factor
-        self.at = now
+        self.updated_at = now
 
 
 class Health:
-    """Avoids upstreams that fail requests while they say they are well.
+    """Avoids upstreams that fail requests although they report to be healthy.
 
     Attributes:
-        records: By instance.
-        quiet_from: Router clock from which on nobody is avoided.
-        unwanted_to: Router clock from which on all want requests.
-        on_suspect: Called when an upstream is found dead or out of reach,
-            with the seconds for which it is avoided.
+        records: Health records by instance.
+        last_avoidance_end: Router clock from which on no upstream is
+            deprioritized.
+        last_pause_end: Router clock from which on no upstream is
+            paused.
+        on_suspect: Called with an upstream that this router found dead or
+            unreachable, and the seconds for which it is avoided.
     """
 
     def __init__(self) -> None:
-        self.records: dict[str, Record] = {}
-        self.quiet_from = 0.0
-        self.unwanted_to = 0.0
+        self.records: dict[str, HealthRecord] = {}
+        self.last_avoidance_end = 0.0
+        self.last_pause_end = 0.0
         self.on_suspect: Callable[[str, float], None] = ignore
 
-    def record(self, instance: str) -> Record:
-        """Returns the record of an upstream."""
-        found = self.records.get(instance)
-        if found is None:
-            found = Record(at=trio.current_time())
-            self.records[instance] = found
-        return found
+    def record(self, instance: str) -> HealthRecord:
+        """Returns the record of an upstream, created if there is none."""
+        record = self.records.get(instance)
+        if record is None:
+            record = HealthRecord(updated_at=trio.current_time())
+            self.records[instance] = record
+        return record
 
     def note_success(self, instance: str) -> None:
-        """Notes a good answer."""
+        """Counts a successful answer and clears a suspicion."""
         record = self.record(instance)
-        record.fade()
+        record.decay()
         record.successes += 1.0
-        record.rounds = 0
+        record.consecutive_avoidances = 0
         record.suspect_until = 0.0
 
     def note_failure(self, instance: str, others: Iterable[str] = ()) -> None:
-        """Notes an answer that failed or broke off.
+        """Counts an answer that failed or was cut off.
 
         Where all upstreams of a service fail alike, avoiding one after the
-        other helps no request and loses the cached prompts of each.
+        other helps no request and loses the prompt cache of each.
 
         Args:
             instance: The upstream.
             others: All upstreams of its service.
         """
         record = self.record(instance)
-        record.fade()
+        record.decay()
         record.failures += 1.0
-        if record.failures < FAILURES_TO_AVOID:
+        if record.failures < MIN_FAILURES_TO_AVOID:
             return
-        usual = self.failed_share(one for one in others if one != instance)
-        if self.failed_share([instance]) - usual >= FAILED_SHARE_TO_AVOID:
+        usual = self.failure_fraction(
+            other for other in others if other != instance
+        )
+        if self.failure_fraction([instance]) - usual >= MIN_EXCESS_FRACTION:
             self.avoid(instance, record, 'failures')
 
-    def failed_share(self, instances: Iterable[str]) -> float:
-        """Returns the share of failures in what upstreams answered lately."""
+    def failure_fraction(self, instances: Iterable[str]) -> float:
+        """Returns the fraction of failures in recent answers of upstreams."""
         failures = 0.0
-        seen = 0.0
+        answers = 0.0
         for instance in instances:
             record = self.records.get(instance)
             if record is None:
                 continue
-            record.fade()
+            record.decay()
             failures += record.failures
-            seen += record.failures + record.successes
-        # a single answer of others says little of what is usual
-        return failures / seen if seen >= 1.0 else 0.0
+            answers += record.failures + record.successes
+        # Less than one answer is too few to tell the usual failure fraction.
+        return failures / answers if answers >= 1.0 else 0.0
 
     def note_unreachable(self, instance: str) -> None:
-        """Notes that no connection was to be had."""
+        """Suspects an upstream that accepted no connection."""
         self.suspect(instance, 'unreachable')
 
     def note_silent(self, instance: str) -> None:
-        """Notes that nothing came from it though bytes were due."""
+        """Suspects an upstream that sent no bytes although some were due."""
         self.suspect(instance, 'silent')
 
     def note_suspected(self, instance: str, seconds: float) -> None:
-        """Notes that other routers take it for dead or out of reach."""
+        """Suspects an upstream that other routers found dead or unreachable."""
         record = self.record(instance)
         now = trio.current_time()
-        known = record.suspect_until > now
+        already_suspected = record.suspect_until > now
         record.suspect_until = max(record.suspect_until, now + seconds)
-        self.hold_back(record, record.suspect_until)
-        if not known:
-            self.note_avoided(instance, record, FOUND_BY_OTHERS)
+        self.extend_avoidance(record, record.suspect_until)
+        if not already_suspected:
+            self.report_avoided(instance, record, REPORTED_BY_PEERS)
 
-    def hold_back(self, record: Record, until: float) -> None:
-        """Prefers others to an upstream until a moment, at least."""
+    def extend_avoidance(self, record: HealthRecord, until: float) -> None:
+        """Avoids an upstream at least until the given router clock."""
         record.avoid_until = max(record.avoid_until, until)
-        self.quiet_from = max(self.quiet_from, until)
+        self.last_avoidance_end = max(self.last_avoidance_end, until)
 
     def suspect(self, instance: str, cause: str) -> None:
-        """Takes an upstream for dead or out of reach."""
+        """Considers an upstream dead or unreachable and reports it."""
         record = self.record(instance)
-        known = record.suspect_until > trio.current_time()
+        already_suspected = record.suspect_until > trio.current_time()
         self.avoid(instance, record, cause)
         record.suspect_until = record.avoid_until
-        if not known:
+        if not already_suspected:
             seconds = record.suspect_until - trio.current_time()
             self.on_suspect(instance, seconds)
 
     def is_suspected(self, instance: str) -> bool:
-        """Returns whether it is taken for dead or out of reach."""
+        """Returns whether an upstream is considered dead or unreachable."""
         record = self.records.get(instance)
         if record is None:
             return False
         return record.suspect_until > trio.current_time()
 
     def note_full(self, instance: str) -> None:
-        """Notes a refusal for want of room."""
+        """Records that an upstream refused a request because it is full."""
         record = self.record(instance)
-        # apart from what it is avoided for: one that is found dead meanwhile
-        # is avoided for its whole time
+        # Kept apart from avoid_until: an upstream that is found dead while it
+        # is full is still avoided for the whole time of a dead one.
         record.full_until = trio.current_time() + FULL_SECONDS
-        self.quiet_from = max(self.quiet_from, record.full_until)
+        self.last_avoidance_end = max(
+            self.last_avoidance_end, record.full_until
+        )
         AVOIDED.inc({'cause': 'full'})
 
-    def note_unwanted(self, instance: str, seconds: float) -> None:
-        """Notes that an upstream wants no request for a time."""
+    def note_paused(self, instance: str, seconds: float) -> None:
+        """Records that an upstream asked to be sent no requests for a time."""
         record = self.record(instance)
-        seconds = min(seconds, MAX_UNWANTED_SECONDS)
+        seconds = min(seconds, MAX_PAUSE_SECONDS)
         until = trio.current_time() + seconds
-        if until <= record.unwanted_until:
+        if until <= record.paused_until:
             return
-        record.unwanted_until = until
-        self.unwanted_to = max(self.unwanted_to, until)
+        record.paused_until = until
+        self.last_pause_end = max(self.last_pause_end, until)
         AVOIDED.inc({'cause': 'asked'})
         logs.change(
             'upstream_unwanted', upstream=instance, seconds=round(seconds, 2)
         )
 
-    def wants_none(self, instance: str) -> bool:
-        """Returns whether an upstream wants no request now."""
+    def is_paused(self, instance: str) -> bool:
+        """Returns whether an upstream asked to be sent no requests now."""
         now = trio.current_time()
-        if now >= self.unwanted_to:
+        if now >= self.last_pause_end:
             return False
         record = self.records.get(instance)
-        return record is not None and record.unwanted_until > now
+        return record is not None and record.paused_until > now
 
-    def wanting_none(self) -> dict[str, float]:
-        """Returns the upstreams that want no request, and until when."""
+    def paused(self) -> dict[str, float]:
+        """Returns the paused upstreams and the router clock of each end."""
         now = trio.current_time()
-        if now >= self.unwanted_to:
+        if now >= self.last_pause_end:
             return {}
         return {
-            instance: record.unwanted_until
+            instance: record.paused_until
             for instance, record in self.records.items()
-            if record.unwanted_until > now
+            if record.paused_until > now
         }
 
-    def avoid(self, instance: str, record: Record, cause: str) -> None:
-        """Avoids an upstream, the longer the more often it was."""
+    def avoid(self, instance: str, record: HealthRecord, cause: str) -> None:
+        """Avoids an upstream, with exponential backoff, if it is not yet."""
         now = trio.current_time()
         if record.avoid_until > now:
             return
-        seconds = FIRST_AVOID_SECONDS * 2.0 ** min(record.rounds, 4)
-        self.hold_back(record, now + min(seconds, MAX_AVOID_SECONDS))
-        record.rounds += 1
-        self.note_avoided(instance, record, cause)
-
-    def note_avoided(self, instance: str, record: Record, cause: str) -> None:
-        """Counts and writes that an upstream is avoided from now on."""
+        seconds = FIRST_AVOID_SECONDS * 2.0 ** min(
+            record.consecutive_avoidances, 4
+        )
+        self.extend_avoidance(record, now + min(seconds, MAX_AVOID_SECONDS))
+        record.consecutive_avoidances += 1
+        self.report_avoided(instance, record, cause)
+
+    def report_avoided(
+        self, instance: str, record: HealthRecord, cause: str
+    ) -> None:
+        """Counts and logs that an upstream is avoided from now on."""
         AVOIDED.inc({'cause': cause})
         logs.change(
             'upstream_avoided',
@@ -246,36 +261,36 @@
             seconds=round(record.avoid_until - trio.current_time(), 2),
         )
 
-    def held_back(self) -> set[str]:
+    def deprioritized(self) -> set[str]:
         """Returns the upstreams to which others are preferred now."""
         now = trio.current_time()
-        if now >= self.quiet_from:
-            # most of the time; thousands of records need no look each
+        if now >= self.last_avoidance_end:
+            # The usual case: no scan of thousands of records.
             return set()
         return {
             instance
             for instance, record in self.records.items()
-            if record.held_until > now
+            if record.deprioritized_until > now
         }
 
-    def standing(self, instance: str) -> str:
-        """Returns whether an upstream is avoided, in words."""
+    def describe(self, instance: str) -> str:
+        """Returns for operators whether and why an upstream is avoided."""
         record = self.records.get(instance)
         now = trio.current_time()
-        if record is not None and record.unwanted_until > now:
-            return f'wants nothing for {record.unwanted_until - now:.1f} s'
-        if record is None or record.held_until <= now:
+        if record is not None and record.paused_until > now:
+            return f'paused for {record.paused_until - now:.1f} s'
+        if record is None or record.deprioritized_until <= now:
             return 'candidate'
         cause = 'failed' if record.avoid_until > now else 'full'
         if record.suspect_until > now:
             cause = 'out of reach'
-        return f'avoided for {record.held_until - now:.1f} s: {cause}'
+        return f'avoided for {record.deprioritized_until - now:.1f} s: {cause}'
 
     def retain(self, instances: Collection[str]) -> None:
-        """Forgets upstreams that are no more."""
-        for name in [one for one in self.records if one not in instances]:
+        """Drops the records of all upstreams but the given ones."""
+        for name in [name for name in self.records if name not in instances]:
             del self.records[name]
 
 
 def ignore(instance: str, seconds: float) -> None:
-    """Tells nobody."""
+    """Does nothing; the default of `Health.on_suspect`."""
--- a/lavenderbend/coordination/forwarding/loads.py
+++ b/lavenderbend/coordination/forwarding/loads.py
@@ -1,4 +1,4 @@
-"""How many requests each upstream holds, as far as this router knows."""
+"""Number of requests at each upstream, as far as this router knows."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-# an upstream's own figure is worth less than what routers count after this
-REPORT_SECONDS = 2.0
-# a peer that was not heard for so long may have ended its requests
-PEER_SECONDS = 3.0
+# After this time an upstream's own load report is less accurate than the
+# counts of the routers.
+REPORT_LIFETIME_SECONDS = 2.0
+# A peer that sent no message for this time may have ended its requests.
+PEER_LIFETIME_SECONDS = 3.0
 
 
 @attrs.define
-class Report:
-    """What an upstream said of its load with an answer.
+class LoadReport:
+    """The load that an upstream reported in the headers of an answer.
 
     Attributes:
-        load: Requests that it ran or had waiting.
+        load: Requests that it was running or had queued.
         at: Router clock at which it arrived, here or at another router.
-        change: Requests that this router began less those it ended since.
+        change: Requests that this router has begun since, less those that it
+            has ended.
     """
 
     load: int
@@ -34,27 +36,27 @@
 
 
 @attrs.frozen
-class Step:
-    """A request of this router that began or ended.
+class LoadChange:
+    """The beginning or end of a request of this router.
 
     Attributes:
         instance: Its upstream.
         at: Router clock.
-        by: 1 for a beginning, -1 for an end.
+        delta: 1 for a beginning, -1 for an end.
     """
 
     instance: str
     at: float
-    by: int
+    delta: int
 
 
 @attrs.frozen
 class PeerLoads:
-    """What a peer holds at upstreams.
+    """Requests of a peer at upstreams.
 
     Attributes:
         counts: Requests by instance.
-        at: Router clock of its arrival.
+        at: Router clock at which the peer's message arrived.
     """
 
     counts: Mapping[str, int]
@@ -62,125 +64,130 @@
 
 
 class Loads:
-    """Requests on upstreams: this router's, its peers' and reported ones.
+    """Requests at upstreams: this router's, its peers' and reported ones.
 
-    What peers hold is kept as one sum for each upstream: of hundreds of
-    routers and thousands of upstreams, few pairs have a request.
+    The requests of peers are kept as one sum for each upstream: of the pairs
+    of hundreds of routers and thousands of upstreams, few have a request.
 
     Attributes:
         own: Requests of this router by instance.
-        peers: Requests of other routers, by their names, the latest heard
+        peers: Requests of other routers by router name, the most recently
+            updated last.
+        peer_totals: Sums of the requests in `peers`, by instance.
+        reports: Recent load reports by instance, the most recently added
             last.
-        told: Sum of what `peers` hold, by instance.
-        reports: Reports of the last moments, the latest last.
-        oldest: Router clock before which a report counts no more.
-        steps: Own requests that began or ended since then.
+        oldest: Router clock up to which a report has expired.
+        changes: Own requests that began or ended within the lifetime of a
+            report.
     """
 
     def __init__(self) -> None:
         self.own: collections.Counter[str] = collections.Counter()
         self.peers: dict[str, PeerLoads] = {}
-        self.told: collections.Counter[str] = collections.Counter()
-        self.reports: dict[str, Report] = {}
+        self.peer_totals: collections.Counter[str] = collections.Counter()
+        self.reports: dict[str, LoadReport] = {}
         self.oldest = float('-inf')
-        self.steps: collections.deque[Step] = collections.deque()
+        self.changes: collections.deque[LoadChange] = collections.deque()
 
     def begin(self, instance: str) -> None:
-        """Counts a request that is sent."""
+        """Counts a request that is sent to an upstream."""
         self.own[instance] += 1
-        self.note_step(instance, 1)
+        self.note_change(instance, 1)
 
     def end(self, instance: str) -> None:
-        """Counts a request that has ended."""
+        """Removes a request that has ended."""
         self.own[instance] -= 1
         if not self.own[instance]:
             del self.own[instance]
-        self.note_step(instance, -1)
+        self.note_change(instance, -1)
 
-    def note_step(self, instance: str, by: int) -> None:
-        """Notes a request that began or ended."""
+    def note_change(self, instance: str, delta: int) -> None:
+        """Records that an own request began or ended."""
         now = trio.current_time()
-        self.steps.append(Step(instance, now, by))
-        while self.steps[0].at < now - REPORT_SECONDS:
-            self.steps.popleft()
+        self.changes.append(LoadChange(instance, now, delta))
+        while self.changes[0].at < now - REPORT_LIFETIME_SECONDS:
+            self.changes.popleft()
         if instance in self.reports:
-            self.reports[instance].change += by
+            self.reports[instance].change += delta
 
     def note_report(self, instance: str, value: bytes) -> None:
-        """Notes what an upstream said: running, waiting, slots."""
+        """Stores a load report of an upstream: running, waiting, slots."""
         parts = value.split(b',')
         if len(parts) < 2 or not parts[0].isdigit() or not parts[1].isdigit():
             return
         load = int(parts[0]) + int(parts[1])
         self.reports.pop(instance, None)
-        self.reports[instance] = Report(load, trio.current_time())
+        self.reports[instance] = LoadReport(load, trio.current_time())
 
-    def note_told(self, instance: str, load: int, age: float) -> None:
-        """Notes what an upstream said to another router.
+    def note_peer_report(self, instance: str, load: int, age: float) -> None:
+        """Stores a load report that another router received.
 
         Args:
             instance: The upstream.
-            load: What it said.
-            age: Seconds since then.
+            load: The reported load.
+            age: Seconds since the other router received it.
         """
         at = trio.current_time() - age
-        known = self.reports.get(instance)
-        if age > REPORT_SECONDS or (known is not None and known.at >= at):
+        previous = self.reports.get(instance)
+        if age > REPORT_LIFETIME_SECONDS or (
+            previous is not None and previous.at >= at
+        ):
             return
         change = sum(
-            one.by
-            for one in self.steps
-            if one.instance == instance and one.at > at
+            change.delta
+            for change in self.changes
+            if change.instance == instance and change.at > at
         )
         self.reports.pop(instance, None)
-        self.reports[instance] = Report(load, at, change)
+        self.reports[instance] = LoadReport(load, at, change)
 
     def note_peer(self, name: str, counts: Mapping[str, int]) -> None:
-        """Notes what a peer holds."""
-        self.forget_peer(name)
+        """Stores the requests that a peer has at upstreams."""
+        self.remove_peer(name)
         self.peers[name] = PeerLoads(counts, trio.current_time())
-        self.told.update(counts)
+        self.peer_totals.update(counts)
 
-    def forget_peer(self, name: str) -> None:
-        """Takes out what a peer was last known to hold."""
-        known = self.peers.pop(name, None)
-        if known is None:
+    def remove_peer(self, name: str) -> None:
+        """Removes the requests that a peer last reported."""
+        previous = self.peers.pop(name, None)
+        if previous is None:
             return
-        for instance, count in known.counts.items():
-            self.told[instance] -= count
-            if not self.told[instance]:
-                del self.told[instance]
+        for instance, count in previous.counts.items():
+            self.peer_totals[instance] -= count
+            if not self.peer_totals[instance]:
+                del self.peer_totals[instance]
 
-    def forget_old(self) -> None:
-        """Drops peers and reports that were not heard of lately."""
+    def remove_expired(self) -> None:
+        """Removes peers and reports whose lifetime has passed."""
         now = trio.current_time()
         while self.peers:
             name, oldest = next(iter(self.peers.items()))
-            if now - oldest.at < PEER_SECONDS:
+            if now - oldest.at < PEER_LIFETIME_SECONDS:
                 break
-            self.forget_peer(name)
-        self.oldest = now - REPORT_SECONDS
+            self.remove_peer(name)
+        self.oldest = now - REPORT_LIFETIME_SECONDS
         while self.reports:
-            # those that others told came late: an old one may lie behind
+            # The order is not strictly by time: a report from another router
+            # arrives late, so that an expired one may stay behind a newer one.
             instance, report = next(iter(self.reports.items()))
             if report.at > self.oldest:
                 break
             del self.reports[instance]
 
     def load(self, instance: str) -> int:
-        """Returns how many requests an upstream holds."""
-        self.forget_old()
-        return self.known_load(instance)
+        """Returns how many requests an upstream has."""
+        self.remove_expired()
+        return self.unexpired_load(instance)
 
-    def known_load(self, instance: str) -> int:
-        """Returns it by what is kept."""
-        counted = self.own.get(instance, 0) + self.told.get(instance, 0)
+    def unexpired_load(self, instance: str) -> int:
+        """Returns how many requests an upstream has, expiring nothing."""
+        counted = self.own.get(instance, 0) + self.peer_totals.get(instance, 0)
         report = self.reports.get(instance)
         if report is None or report.at <= self.oldest:
             return counted
         return max(counted, report.load + report.change)
 
     def total(self, instances: Iterable[str]) -> int:
-        """Returns how many requests some upstreams hold together."""
-        self.forget_old()
-        return sum(self.known_load(one) for one in instances)
+        """Returns how many requests some upstreams have in total."""
+        self.remove_expired()
+        return sum(self.unexpired_load(instance) for instance in instances)
--- a/lavenderbend/coordination/forwarding/owned_loads.py
+++ b/lavenderbend/coordination/forwarding/owned_loads.py
@@ -1,4 +1,4 @@
-"""What this router knows of the upstreams that it owns."""
+"""Requests at the upstreams that this router owns."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# of a prompt that another upstream holds, as a part of what reading it takes
-COPY_PART = 0.2
+# Cost of copying a cached prompt from another upstream, as a fraction of the
+# time that it takes to process it.
+COPY_COST_FRACTION = 0.2
 MAX_CHATS = 20_000
 MAX_HOLDERS = 3
-# a reservation whose end was lost counts no longer than this
-MAX_SECONDS = 15.0
+# A reservation whose end was lost expires after this time.
+MAX_RESERVATION_SECONDS = 15.0
 MILLISECONDS = 1000
 
 RESERVATIONS = metrics.gauge(
@@ -30,12 +31,12 @@
 
 
 class NoteKind(enum.IntEnum):
-    """What became of a reservation.
+    """Kind of a note about a reservation.
 
     Attributes:
-        BEGUN: Its upstream has read the prompt and begun to answer.
-        ENDED: The request has ended there, or went elsewhere.
-        HELD: Another upstream holds the chat.
+        BEGUN: The upstream has processed the prompt and begun to answer.
+        ENDED: The request has ended there, or was sent elsewhere.
+        HELD: Another upstream holds the prompt of the chat in its cache.
     """
 
     BEGUN = 1
@@ -44,12 +45,12 @@
 
 
 @attrs.define
-class Counted:
-    """A request that is counted at an upstream.
+class CountedRequest:
+    """A request that its owner counts at an upstream.
 
     Attributes:
-        unread: Tokens that the upstream has yet to read of its prompt.
-        until: Router clock at which it has ended at the latest.
+        unread: Prompt tokens that the upstream has yet to process.
+        until: Router clock at which the reservation expires.
     """
 
     unread: int
@@ -57,54 +58,57 @@
 
 
 class OwnedLoads:
-    """Requests at the upstreams that this router owns.
+    """Counts the requests at the upstreams that this router owns.
 
-    Each upstream is owned by one router, which is asked before a prompt is
-    sent there. In a fleet of hundreds it is the only one that knows at once
-    what all have sent: what routers tell each other of loads is half a second
-    old, and a prompt is read in a quarter of one. It decides nothing; if it
-    is dead, cut off or wrong, routers choose by what they know themselves.
+    Each upstream is owned by one router, and other routers reserve there
+    before they send it a prompt. In a fleet of hundreds the owner is the only
+    router that knows at once what all others have sent: gossiped loads are
+    half a second old, while a prompt takes a quarter of a second to process.
+    The owner decides nothing; if it is dead, unreachable or wrong, routers
+    choose by their own knowledge.
 
     Attributes:
         host: This router.
         upstreams: Reservations by upstream, then by router and number.
-        chats: Upstreams that hold each chat and when they were seen to, the
-            latest asked last.
+        chats: Upstreams that hold each chat and the router clock at which
+            that was last reported; the most recently updated chat last.
     """
 
     def __init__(self, host: str) -> None:
         self.host = host
-        self.upstreams: dict[int, dict[tuple[str, int], Counted]] = {}
+        self.upstreams: dict[int, dict[tuple[str, int], CountedRequest]] = {}
         self.chats: collections.OrderedDict[int, dict[int, float]] = (
             collections.OrderedDict()
         )
 
     def reserve(
-        self, asked: messages_forwarding.ReservationRequest
+        self, request: messages_forwarding.ReservationRequest
     ) -> messages_forwarding.ReservationReply:
-        """Counts a request; returns what was there before it.
+        """Counts a request; returns the load of the upstream before it.
 
-        The same question may come twice: it is counted once.
+        A reservation request that arrives twice is counted once.
         """
         now = trio.current_time()
-        found = self.upstreams.setdefault(asked.upstream, {})
-        found.pop((asked.host, asked.number), None)
-        drop_ended(found, now)
-        holders = self.holders(asked.chat)
+        counted = self.upstreams.setdefault(request.upstream, {})
+        counted.pop((request.host, request.number), None)
+        drop_expired(counted, now)
+        holders = self.holders(request.chat)
         reply = messages_forwarding.ReservationReply(
-            asked.number,
+            request.number,
             self.host,
-            asked.upstream,
-            len(found),
-            sum(one.unread for one in found.values()),
+            request.upstream,
+            len(counted),
+            sum(other.unread for other in counted.values()),
             holders,
         )
-        seconds = min(asked.milliseconds / MILLISECONDS, MAX_SECONDS)
-        found[asked.host, asked.number] = Counted(
+        seconds = min(
+            request.milliseconds / MILLISECONDS, MAX_RESERVATION_SECONDS
+        )
+        counted[request.host, request.number] = CountedRequest(
             unread_tokens(
-                asked.tokens,
-                asked.own_tokens,
-                asked.upstream in holders,
+                request.tokens,
+                request.own_tokens,
+                request.upstream in holders,
                 bool(holders),
             ),
             now + seconds,
@@ -113,77 +117,84 @@
 
     def holders(self, chat: int) -> list[int]:
         """Returns the upstreams that hold a chat, the latest first."""
-        found = self.chats.get(chat, {})
-        return sorted(found, key=found.__getitem__, reverse=True)
+        holders = self.chats.get(chat, {})
+        return sorted(holders, key=holders.__getitem__, reverse=True)
+
+    def apply_notes(self, notes: messages_forwarding.ReservationNotes) -> None:
+        """Applies notes about reservations; idempotent.
 
-    def take(self, notes: messages_forwarding.ReservationNotes) -> None:
-        """Takes in what became of reservations; again makes no difference."""
-        takers: dict[int, Callable[..., None]] = {
+        Rows of a kind that this version does not know are ignored.
+        """
+        handlers: dict[int, Callable[..., None]] = {
             NoteKind.BEGUN: self.note_begun,
             NoteKind.ENDED: self.note_ended,
             NoteKind.HELD: self.note_held,
         }
         for kind, number, upstream, chat, holder in notes.rows:
-            taker = takers.get(kind)
-            if taker is not None:
-                taker(notes.host, number, upstream, chat, holder)
+            handler = handlers.get(kind)
+            if handler is not None:
+                handler(notes.host, number, upstream, chat, holder)
 
     def note_begun(
         self, host: str, number: int, upstream: int, chat: int, holder: int
     ) -> None:
-        """Notes that an upstream has read a prompt."""
-        found = self.upstreams.get(upstream, {}).get((host, number))
-        if found is not None:
-            found.unread = 0
+        """Records that an upstream processed a prompt and holds its chat."""
+        counted = self.upstreams.get(upstream, {}).get((host, number))
+        if counted is not None:
+            counted.unread = 0
         self.note_held(host, number, upstream, chat, upstream)
 
     def note_ended(
         self, host: str, number: int, upstream: int, chat: int, holder: int
     ) -> None:
-        """Notes that a request has ended."""
+        """Removes a request that has ended."""
         self.upstreams.get(upstream, {}).pop((host, number), None)
 
     def note_held(
         self, host: str, number: int, upstream: int, chat: int, holder: int
     ) -> None:
-        """Notes who holds a chat."""
-        found = self.chats.setdefault(chat, {})
+        """Records which upstream holds a chat."""
+        holders = self.chats.setdefault(chat, {})
         self.chats.move_to_end(chat)
-        found[holder] = trio.current_time()
-        if len(found) > MAX_HOLDERS:
-            del found[min(found, key=found.__getitem__)]
+        holders[holder] = trio.current_time()
+        if len(holders) > MAX_HOLDERS:
+            del holders[min(holders, key=holders.__getitem__)]
         if len(self.chats) > MAX_CHATS:
             self.chats.popitem(last=False)
 
-    def tidy(self) -> None:
-        """Forgets what has ended."""
+    def remove_expired(self) -> None:
+        """Removes expired reservations and updates the metric."""
         now = trio.current_time()
-        for upstream, found in list(self.upstreams.items()):
-            drop_ended(found, now)
-            if not found:
+        for upstream, counted in list(self.upstreams.items()):
+            drop_expired(counted, now)
+            if not counted:
                 del self.upstreams[upstream]
-        count = sum(len(found) for found in self.upstreams.values())
+        count = sum(len(counted) for counted in self.upstreams.values())
         RESERVATIONS.set({}, count)
 
 
-def drop_ended(found: dict[tuple[str, int], Counted], now: float) -> None:
-    """Takes out the requests whose time is over."""
-    for key in [key for key, one in found.items() if one.until <= now]:
-        del found[key]
+def drop_expired(
+    counted: dict[tuple[str, int], CountedRequest], now: float
+) -> None:
+    """Removes the expired requests."""
+    for key in [
+        key for key, request in counted.items() if request.until <= now
+    ]:
+        del counted[key]
 
 
 def unread_tokens(
     tokens: int, own_tokens: int, held_there: bool, held: bool
 ) -> int:
-    """Returns how many tokens an upstream reads of a prompt, as time taken.
+    """Returns the cost of a prompt to an upstream, in tokens it processes.
 
     Args:
         tokens: Length of the prompt.
-        own_tokens: Of these, what no other request has.
-        held_there: Whether the upstream holds the rest.
-        held: Whether any upstream does, from which it is copied.
+        own_tokens: Length of its part that no other request has.
+        held_there: Whether the upstream holds the rest in its cache.
+        held: Whether any upstream does, from which the rest is copied.
     """
     if held_there:
         return own_tokens
     shared = tokens - own_tokens
-    return own_tokens + round(shared * COPY_PART if held else shared)
+    return own_tokens + round(shared * COPY_COST_FRACTION if held else shared)
--- a/lavenderbend/coordination/forwarding/owners.py
+++ b/lavenderbend/coordination/forwarding/owners.py
@@ -1,4 +1,4 @@
-"""Which router owns an upstream, and how it is reached."""
+"""Finds the router that owns an upstream."""
 
 from __future__ import annotations
 
@@ -11,29 +11,32 @@
 if TYPE_CHECKING:
     import random
 
-    from lavenderbend.coordination.forwarding import fleet_count
+    from lavenderbend.coordination.forwarding import (
+        fleet_count as fleet_count_module,
+    )
     from lavenderbend.coordination.forwarding import members as members_module
 
-# an owner that did not answer is passed by for so long
-SILENT_SECONDS = 1.0
-MAX_KNOWN = 10_000
+# Time for which an owner that did not reply is not asked again.
+UNRESPONSIVE_SECONDS = 1.0
+MAX_KNOWN_OWNERS = 10_000
 
 
 class Owners:
     """Finds the owners of upstreams.
 
     An upstream is owned by a router of its own availability zone, the first
-    in the order of rendezvous hashing: the routers of a zone know each other.
-    A router of another zone knows only some; it asks any of them, which
-    passes the question on to the owner, and asks the owner from then on.
+    in rendezvous hashing order: the routers of a zone know each other. A
+    router of another zone knows only some of them; it sends its request to
+    any, which forwards it to the owner, and to the owner from then on.
 
     Attributes:
         host: This router.
         zone: Its availability zone.
         members: Other routers.
-        count: The zones there are.
-        known: Owners that have answered, by short ids of upstreams.
-        silent_until: Router clock until which an owner is passed by.
+        fleet_count: Knows which zones there are.
+        rng: Chooses routers of other zones.
+        known_owners: Owners that have replied, by short ids of upstreams.
+        unresponsive_until: Router clock until which a router is not asked.
     """
 
     def __init__(
@@ -41,18 +44,18 @@
         host: str,
         zone: str,
         members: members_module.Members,
-        count: fleet_count.FleetCount,
+        fleet_count: fleet_count_module.FleetCount,
         rng: random.Random,
     ) -> None:
         self.host = host
         self.zone = zone
         self.members = members
-        self.count = count
+        self.fleet_count = fleet_count
         self.rng = rng
-        self.known: dict[int, str] = {}
-        self.silent_until: dict[str, float] = {}
+        self.known_owners: dict[int, str] = {}
+        self.unresponsive_until: dict[str, float] = {}
 
-    def own_of_zone(self, upstream: int) -> str:
+    def owner_in_zone(self, upstream: int) -> str:
         """Returns the owner of an upstream of this router's zone."""
         hosts = {self.host, *self.members.near.alive()}
         return hashing.rendezvous(f'{upstream:08x}', hosts)
@@ -64,47 +67,55 @@
             upstream: Its short id.
             zone: Its availability zone, which may have no routers.
         """
-        zones = {self.zone, *self.count.known()}
+        zones = {self.zone, *self.fleet_count.known()}
         if zone in zones:
             return zone
         return hashing.rendezvous(f'{upstream:08x}', zones)
 
-    def find(self, upstream: int, zone: str) -> str | None:
-        """Returns whom to ask of an upstream, None if nobody is known."""
+    def router_to_ask(self, upstream: int, zone: str) -> str | None:
+        """Returns the router to ask about an upstream, None if there is none.
+
+        Args:
+            upstream: Its short id.
+            zone: Its availability zone.
+        """
         owning = self.owning_zone(upstream, zone)
         if owning == self.zone:
-            host = self.own_of_zone(upstream)
+            host = self.owner_in_zone(upstream)
         else:
-            host = self.known.get(upstream)
-            if host is None or self.is_silent(host):
+            host = self.known_owners.get(upstream)
+            if host is None or self.is_unresponsive(host):
                 host = self.members.choose_far(self.rng, owning)
-        if host is None or self.is_silent(host):
+        if host is None or self.is_unresponsive(host):
             return None
         return host
 
-    def is_silent(self, host: str) -> bool:
-        """Returns whether a router did not answer just now."""
-        return self.silent_until.get(host, 0.0) > trio.current_time()
+    def is_unresponsive(self, host: str) -> bool:
+        """Returns whether a router recently failed to reply in time."""
+        return self.unresponsive_until.get(host, 0.0) > trio.current_time()
 
-    def note_answer(self, upstream: int, host: str) -> None:
-        """Notes who answered for an upstream."""
-        if len(self.known) >= MAX_KNOWN:
-            self.known.clear()
-        self.known[upstream] = host
+    def note_owner(self, upstream: int, host: str) -> None:
+        """Records which router replied as the owner of an upstream."""
+        if len(self.known_owners) >= MAX_KNOWN_OWNERS:
+            self.known_owners.clear()
+        self.known_owners[upstream] = host
 
-    def note_silent(self, host: str) -> None:
-        """Notes that a router did not answer in time.
+    def note_unresponsive(self, host: str) -> None:
+        """Records that a router did not reply in time.
 
-        It may have died, and others know who owns its upstreams now.
+        It may have died; the other routers of its zone know the new owners of
+        its upstreams.
         """
-        self.silent_until[host] = trio.current_time() + SILENT_SECONDS
-        for upstream, owner in list(self.known.items()):
+        self.unresponsive_until[host] = (
+            trio.current_time() + UNRESPONSIVE_SECONDS
+        )
+        for upstream, owner in list(self.known_owners.items()):
             if owner == host:
-                del self.known[upstream]
+                del self.known_owners[upstream]
 
-    def tidy(self) -> None:
-        """Forgets who was silent."""
+    def remove_expired(self) -> None:
+        """Removes routers that may be asked again."""
         now = trio.current_time()
-        for host, until in list(self.silent_until.items()):
+        for host, until in list(self.unresponsive_until.items()):
             if until <= now:
-                del self.silent_until[host]
+                del self.unresponsive_until[host]
--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -138,7 +138,9 @@
                 self.reservations.on_request
             ),
             messages_forwarding.ReservationReply: self.reservations.on_reply,
-            messages_forwarding.ReservationNotes: self.reservations.owned.take,
+            messages_forwarding.ReservationNotes: (
+                self.reservations.owned.apply_notes
+            ),
         }
         self.leaving = False
         self.started = math.inf
@@ -200,8 +202,8 @@
             self.members.forget_old()
             self.facts.tidy()
             self.prompts.tidy()
-            self.owners.tidy()
-            self.reservations.owned.tidy()
+            self.owners.remove_expired()
+            self.reservations.owned.remove_expired()
             self.note_size()
             self.knock()
             pause = YOUNG_TICK_SECONDS if self.young() else KNOCK_SECONDS
@@ -334,8 +336,8 @@
             facts=self.facts.told_to_new() if new else self.facts.told(),
             # other zones need only the number
             heard=self.members.near.told(self.rng) if near else b'',
-            reports=self.loads.told_reports(far=not near),
-            requests=self.loads.told_requests(),
+            reports=self.loads.packed_reports(other_zone=not near),
+            requests=self.loads.packed_requests(),
             hosts=self.members.told(self.rng, zone, new),
             prompts=self.prompts.told(far=not near),
         )
@@ -399,7 +401,7 @@
         self.count.take(state.zones)
         if trio.current_time() - self.started < LEARN_BOUND_SECONDS:
             self.bound.note(state.bound)
-        self.loads.note(state)
+        self.loads.merge(state)
         self.prompts.take(state.prompts)
         self.facts.take_all(state.facts)
 
--- a/lavenderbend/coordination/forwarding/placing.py
+++ b/lavenderbend/coordination/forwarding/placing.py
@@ -64,7 +64,7 @@
     holds: bool
     held: bool
 
-    def unread(self, prompt: reservations_module.Prompt) -> int:
+    def unread(self, prompt: reservations_module.PromptSummary) -> int:
         """Returns the tokens that are read before the request begins."""
         own = owned_loads.unread_tokens(
             prompt.tokens, prompt.own_tokens, self.holds, self.held
@@ -91,7 +91,9 @@
 
 
 def best(
-    offers: Sequence[Offer], prompt: reservations_module.Prompt, bound: int
+    offers: Sequence[Offer],
+    prompt: reservations_module.PromptSummary,
+    bound: int,
 ) -> Offer | None:
     """Returns the offer that a request takes, None if all are full.
 
@@ -151,7 +153,7 @@
             return self.chooser.choose(
                 ticket.service, ticket.need, ticket.tried, ticket.id
             )
-        ticket.taken = reservations_module.Taken(
+        ticket.taken = reservations_module.ActiveReservation(
             self.reservations,
             chosen.reservation,
             offers[0].reservation,
@@ -164,7 +166,7 @@
     async def ask(
         self,
         ticket: tickets.Ticket,
-        prompt: reservations_module.Prompt,
+        prompt: reservations_module.PromptSummary,
         bound: int,
     ) -> list[Offer]:
         """Returns what owners say, until one upstream is good enough."""
@@ -175,7 +177,7 @@
                 upstream = self.next_to_ask(usable, offers, bound)
                 if upstream is None:
                     break
-                found = await self.reservations.ask(
+                found = await self.reservations.reserve(
                     upstream, prompt, ticket.left
                 )
                 if found is None:
@@ -219,7 +221,7 @@
         """Gives back what was counted and is not used."""
         for offer in offers:
             if offer is not chosen:
-                self.reservations.note(
+                self.reservations.queue_note(
                     offer.reservation, owned_loads.NoteKind.ENDED, 0
                 )
 
@@ -244,11 +246,13 @@
 
 def prompt_of(
     parts: Sequence[choice_module.PromptPart], chat: str
-) -> reservations_module.Prompt:
+) -> reservations_module.PromptSummary:
     """Returns what an owner is told of a prompt."""
     tokens = sum(part.tokens for part in parts)
     own = parts[-1].tokens if len(parts) > 1 else 0
-    return reservations_module.Prompt(hashing.short_id(chat), tokens, own)
+    return reservations_module.PromptSummary(
+        hashing.short_id(chat), tokens, own
+    )
 
 
 def offer_of(
--- a/lavenderbend/coordination/forwarding/reservations.py
+++ b/lavenderbend/coordination/forwarding/reservations.py
@@ -1,4 +1,4 @@
-"""Requests counted at upstreams by the routers that own these."""
+"""Reserves requests with the routers that own the upstreams."""
 
 from __future__ import annotations
 
@@ -22,29 +22,31 @@
     from lavenderbend.coordination.forwarding import owners as owners_module
     from lavenderbend.state import forwarding
 
-# an owner in another zone answers within three milliseconds or four, a busy one
-# later; a request waits no longer for what only makes its place better
-ANSWER_SECONDS = 0.02
-# a question or its answer may be lost: it is put once more
-ASK_AGAIN_SECONDS = 0.01
+# An owner in another zone replies within three or four milliseconds, a busy
+# one later. A reservation only improves the choice of the upstream, so a
+# request waits no longer for it.
+REPLY_TIMEOUT_SECONDS = 0.02
+# A reservation request or its reply may be lost: it is sent once more.
+RETRANSMIT_SECONDS = 0.01
 FLUSH_SECONDS = 0.05
-# each note goes twice: one that is lost leaves a request counted until its
-# deadline
-COPIES = 2
+# Each note is sent twice: if it were lost, the request would be counted until
+# its deadline.
+NOTE_TRANSMISSIONS = 2
 MAX_ROWS = 40
-# answers that a second one may follow; none comes so late as that many later
+# Numbers of answered reservation requests that are kept to recognize a second
+# reply; none arrives more than this many replies later.
 MAX_ANSWERED = 256
 MILLISECONDS = 1000
 
-ASKED = metrics.counter(
+OWNER_REQUESTS = metrics.counter(
     'lavenderbend_forward_owners_asked_total',
     'Questions to the owners of upstreams, by whether they answered.',
 )
 
 
 @attrs.frozen
-class Prompt:
-    """What an owner is told of a request's prompt.
+class PromptSummary:
+    """The data on a request's prompt that is sent to an owner.
 
     Attributes:
         chat: Short id of its chat.
@@ -59,15 +61,15 @@
 
 @attrs.define
 class Reservation:
-    """One request at one upstream, as its owner counts it.
+    """One request at one upstream, as counted by the owner of the upstream.
 
     Attributes:
-        number: Names it among this router's.
+        number: Identifies it among the reservations of this router.
         instance: The upstream.
-        upstream: Its short id.
+        upstream: Short id of the upstream.
         owner: The router that counts it, empty if none does.
-        load: Requests that the upstream held before.
-        unread: Tokens that it had yet to read.
+        load: Requests that the upstream had before.
+        unread: Prompt tokens that the upstream had yet to process.
         holders: Short ids of upstreams that hold the chat.
     """
 
@@ -81,49 +83,50 @@
 
 
 @attrs.frozen
-class Taken:
-    """A reservation that a request uses.
+class ActiveReservation:
+    """The reservation that a request uses.
 
     Attributes:
-        reservations: Tells owners.
-        reservation: Where the request goes.
-        place: That of the chat's place, whose owner keeps who holds it.
+        reservations: Sends notes to owners.
+        reservation: The reservation at the upstream that gets the request.
+        preferred: The reservation at the chat's preferred upstream, whose
+            owner records which upstreams hold the chat.
         chat: Short id of the chat.
-        holders: Upstreams that hold the chat, as that owner knows.
+        holders: Upstreams that hold the chat, according to that owner.
     """
 
     reservations: Reservations
     reservation: Reservation
-    place: Reservation
+    preferred: Reservation
     chat: int
     holders: Sequence[str]
 
-    def begun(self) -> None:
-        """Tells that the upstream has read the prompt."""
-        note = self.reservations.note
-        note(self.reservation, owned_loads.NoteKind.BEGUN, self.chat)
-        if self.place is not self.reservation:
-            note(
-                self.place,
+    def note_begun(self) -> None:
+        """Notifies owners that the upstream has processed the prompt."""
+        queue_note = self.reservations.queue_note
+        queue_note(self.reservation, owned_loads.NoteKind.BEGUN, self.chat)
+        if self.preferred is not self.reservation:
+            queue_note(
+                self.preferred,
                 owned_loads.NoteKind.HELD,
                 self.chat,
                 self.reservation.upstream,
             )
 
-    def ended(self) -> None:
-        """Tells that the request has ended there."""
-        self.reservations.note(
+    def note_ended(self) -> None:
+        """Notifies the owner that the request has ended at the upstream."""
+        self.reservations.queue_note(
             self.reservation, owned_loads.NoteKind.ENDED, self.chat
         )
 
 
 @attrs.define
-class Waiting:
-    """A question that was not answered yet.
+class PendingRequest:
+    """A reservation request without a reply so far.
 
     Attributes:
-        reply: The answer, None until it comes.
-        answered: Set when it has come.
+        reply: The reply, None until it arrives.
+        answered: Set when it has arrived.
     """
 
     reply: messages_forwarding.ReservationReply | None = None
@@ -131,17 +134,19 @@
 
 
 class Reservations:
-    """Asks owners of upstreams, and answers as an owner.
+    """Reserves with the owners of upstreams, and replies as an owner.
 
     Attributes:
         host: This router.
         owners: Finds the owners.
-        owned: What this router knows as an owner.
+        owned: Requests at the upstreams that this router owns.
         link: Carries messages to other routers.
-        waiting: Questions by number.
-        answered: Numbers of those that were answered, the latest last.
-        notes: Rows to be told, by owner, each with the copies left.
-        noted: Set while there are any.
+        numbers: Numbers of the next reservations.
+        pending: Reservation requests without a reply, by number.
+        answered: Numbers of those with a reply, the latest last.
+        notes: Rows to be sent, by owner, each with the remaining number of
+            transmissions.
+        notes_queued: Set while there are rows to be sent.
     """
 
     def __init__(
@@ -156,34 +161,34 @@
         self.owned = owned_loads.OwnedLoads(host)
         self.link = link
         self.numbers = itertools.count(rng.getrandbits(30))
-        self.waiting: dict[int, Waiting] = {}
+        self.pending: dict[int, PendingRequest] = {}
         self.answered: collections.deque[int] = collections.deque(
             maxlen=MAX_ANSWERED
         )
         self.notes: dict[str, collections.deque[tuple[list[int], int]]] = {}
-        self.noted = trio.Event()
+        self.notes_queued = trio.Event()
 
-    async def ask(
+    async def reserve(
         self,
         upstream: forwarding.Upstream,
-        prompt: Prompt,
+        prompt: PromptSummary,
         seconds: float,
     ) -> Reservation | None:
-        """Counts a request at an upstream.
+        """Has a request counted at an upstream by its owner.
 
         Args:
             upstream: The upstream.
-            prompt: Its prompt.
-            seconds: After which it has ended at the latest.
+            prompt: The prompt of the request.
+            seconds: Time after which the reservation expires.
 
         Returns:
-            What its owner knows, None if nobody answered in time.
+            The reservation, None if no router replied in time.
         """
         short = hashing.short_id(upstream.instance)
         zone = upstream.vm.availability_zone
-        host = self.owners.find(short, zone)
+        host = self.owners.router_to_ask(short, zone)
         if host is None:
-            ASKED.inc({'answered': 'nobody known'})
+            OWNER_REQUESTS.inc({'answered': 'nobody known'})
             return None
         request = messages_forwarding.ReservationRequest(
             next(self.numbers),
@@ -195,13 +200,13 @@
             prompt.own_tokens,
             max(1, round(seconds * MILLISECONDS)),
         )
-        reply = await self.reply_to(host, request)
+        reply = await self.request_reply(host, request)
         if reply is None:
-            ASKED.inc({'answered': 'no'})
-            self.owners.note_silent(host)
+            OWNER_REQUESTS.inc({'answered': 'no'})
+            self.owners.note_unresponsive(host)
             return None
-        ASKED.inc({'answered': 'yes'})
-        self.owners.note_answer(short, reply.owner)
+        OWNER_REQUESTS.inc({'answered': 'yes'})
+        self.owners.note_owner(short, reply.owner)
         return Reservation(
             reply.number,
             upstream.instance,
@@ -212,61 +217,67 @@
             tuple(reply.holders),
         )
 
-    async def reply_to(
+    async def request_reply(
         self, host: str, request: messages_forwarding.ReservationRequest
     ) -> messages_forwarding.ReservationReply | None:
-        """Returns the answer to a question, None if it does not come."""
+        """Sends a reservation request, twice if the reply is late.
+
+        Returns:
+            The reply, None if it does not arrive in time.
+        """
         if host == self.host:
             return self.owned.reserve(request)
-        waiting = self.waiting[request.number] = Waiting()
+        pending = self.pending[request.number] = PendingRequest()
         try:
-            with trio.move_on_after(ANSWER_SECONDS):
+            with trio.move_on_after(REPLY_TIMEOUT_SECONDS):
                 self.link.send(host, request)
-                with trio.move_on_after(ASK_AGAIN_SECONDS):
-                    await waiting.answered.wait()
-                if waiting.reply is None:
+                with trio.move_on_after(RETRANSMIT_SECONDS):
+                    await pending.answered.wait()
+                if pending.reply is None:
                     self.link.send(host, request)
-                await waiting.answered.wait()
+                await pending.answered.wait()
         finally:
-            del self.waiting[request.number]
-        return waiting.reply
+            del self.pending[request.number]
+        return pending.reply
 
-    def on_request(self, asked: messages_forwarding.ReservationRequest) -> None:
-        """Answers a question, or passes it on to the owner."""
+    def on_request(
+        self, request: messages_forwarding.ReservationRequest
+    ) -> None:
+        """Replies to a reservation request, or forwards it to the owner."""
         owner = self.host
-        zone = self.owners.owning_zone(asked.upstream, asked.zone)
-        if not asked.forwarded and zone == self.owners.zone:
-            owner = self.owners.own_of_zone(asked.upstream)
+        zone = self.owners.owning_zone(request.upstream, request.zone)
+        if not request.forwarded and zone == self.owners.zone:
+            owner = self.owners.owner_in_zone(request.upstream)
         if owner != self.host:
-            self.link.send(owner, attrs.evolve(asked, forwarded=True))
+            self.link.send(owner, attrs.evolve(request, forwarded=True))
             return
-        self.link.send(asked.host, self.owned.reserve(asked))
+        self.link.send(request.host, self.owned.reserve(request))
 
     def on_reply(self, reply: messages_forwarding.ReservationReply) -> None:
-        """Takes in an answer; one that comes too late is given back.
+        """Handles a reply; ends the reservation of one that is too late.
 
-        Not the second answer to a question that was put twice: the request
-        that it counts is on its way.
+        The second reply to a request that was sent twice ends nothing: the
+        request that it counts is in transit.
         """
-        waiting = self.waiting.get(reply.number)
-        if waiting is None:
+        pending = self.pending.get(reply.number)
+        if pending is None:
             if reply.number in self.answered:
                 return
             late = Reservation(reply.number, '', reply.upstream, reply.owner)
-            self.note(late, owned_loads.NoteKind.ENDED, 0)
+            self.queue_note(late, owned_loads.NoteKind.ENDED, 0)
             return
-        waiting.reply = reply
-        waiting.answered.set()
+        pending.reply = reply
+        pending.answered.set()
         self.answered.append(reply.number)
 
-    def note(
+    def queue_note(
         self,
         reservation: Reservation,
         kind: owned_loads.NoteKind,
         chat: int,
         holder: int = 0,
     ) -> None:
-        """Tells an owner what became of a reservation."""
+        """Queues a note on a reservation for its owner."""
         row = [
             int(kind),
             reservation.number,
@@ -275,34 +286,34 @@
             holder,
         ]
         if reservation.owner == self.host:
-            self.owned.take(
+            self.owned.apply_notes(
                 messages_forwarding.ReservationNotes(self.host, [row])
             )
             return
-        waiting = self.notes.setdefault(reservation.owner, collections.deque())
-        waiting.append((row, COPIES))
-        self.noted.set()
+        queue = self.notes.setdefault(reservation.owner, collections.deque())
+        queue.append((row, NOTE_TRANSMISSIONS))
+        self.notes_queued.set()
 
     async def run(self) -> None:
-        """Tells owners what became of reservations."""
+        """Sends queued notes to owners."""
         while True:
-            await self.noted.wait()
-            # what comes at nearly the same moment goes along
+            await self.notes_queued.wait()
+            # Notes that are queued soon afterwards go into the same message.
             await trio.sleep(FLUSH_SECONDS)
             self.flush()
             if not self.notes:
-                self.noted = trio.Event()
+                self.notes_queued = trio.Event()
 
     def flush(self) -> None:
-        """Sends what is to be told now."""
-        for owner, waiting in list(self.notes.items()):
+        """Sends each owner one message of queued notes."""
+        for owner, queue in list(self.notes.items()):
             rows = []
-            for _ in range(min(MAX_ROWS, len(waiting))):
-                row, copies = waiting.popleft()
+            for _ in range(min(MAX_ROWS, len(queue))):
+                row, transmissions = queue.popleft()
                 rows.append(row)
-                if copies > 1:
-                    waiting.append((row, copies - 1))
-            if not waiting:
+                if transmissions > 1:
+                    queue.append((row, transmissions - 1))
+            if not queue:
                 del self.notes[owner]
             self.link.send(
                 owner, messages_forwarding.ReservationNotes(self.host, rows)
--- a/lavenderbend/coordination/forwarding/shared_loads.py
+++ b/lavenderbend/coordination/forwarding/shared_loads.py
@@ -1,4 +1,4 @@
-"""Loads of upstreams, as routers tell each other of them."""
+"""Exchange of upstream loads between routers."""
 
 from __future__ import annotations
 
@@ -14,60 +14,65 @@
     from collections.abc import Iterator
 
     from lavenderbend.coordination.forwarding import loads as loads_module
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.protocol import messages_forwarding
 
-# in one message: 6 and 5 bytes each
-MAX_NEAR_REPORTS = 32
-MAX_FAR_REPORTS = 48
+# Rows in one message: a load report takes 6 bytes, a request count 5.
+MAX_SAME_ZONE_REPORTS = 32
+MAX_OTHER_ZONE_REPORTS = 48
 MAX_REQUESTS = 20
-# a report that is older is of little use when it arrives
-TOLD_SECONDS = 1.5
+# An older report is of little use by the time it arrives.
+MAX_SHARED_REPORT_AGE_SECONDS = 1.5
 
 
 class SharedLoads:
-    """Tells of loads that this router knows, and takes over those of others.
+    """Sends the loads that this router knows and merges those of others.
 
-    An upstream says its load with each answer. Each router has few answers,
-    but all together many: told on, the latest report of each upstream
-    reaches all routers within a second.
+    An upstream reports its load with each answer. Each router has few
+    answers, but all together have many: as reports are passed on, the latest
+    one of each upstream reaches all routers within a second.
 
     Attributes:
-        followed: The snapshot in force.
-        loads: Requests on upstreams.
-        short: Short ids by instance, of the upstreams in force.
+        snapshots: The snapshots of this router.
+        loads: Requests at upstreams.
+        short_ids: Short ids of the upstreams in force, by instance.
         instances: Instances by short id.
     """
 
     def __init__(
-        self, followed: snapshots.Snapshots, loads: loads_module.Loads
+        self, snapshots: snapshots_module.Snapshots, loads: loads_module.Loads
     ) -> None:
-        self.followed = followed
+        self.snapshots = snapshots
         self.loads = loads
-        self.short: dict[str, int] = {}
+        self.short_ids: dict[str, int] = {}
         self.instances: dict[int, str] = {}
-        followed.on_change.append(self.note_upstreams)
-
-    def note_upstreams(self, snapshot: object) -> None:
-        """Takes over the upstreams of a new snapshot."""
-        upstreams = self.followed.current.upstreams
-        gone = [one for one in self.short if one not in upstreams]
-        for instance in gone:
-            self.instances.pop(self.short.pop(instance), None)
+        snapshots.on_change.append(self.update_upstreams)
+
+    def update_upstreams(self, snapshot: object) -> None:
+        """Follows the upstreams of a new snapshot."""
+        upstreams = self.snapshots.current.upstreams
+        removed = [
+            instance for instance in self.short_ids if instance not in upstreams
+        ]
+        for instance in removed:
+            self.instances.pop(self.short_ids.pop(instance), None)
         for instance in upstreams:
-            if instance not in self.short:
-                self.short[instance] = short = hashing.short_id(instance)
+            if instance not in self.short_ids:
+                self.short_ids[instance] = short = hashing.short_id(instance)
                 self.instances[short] = instance
 
-    def told_reports(self, far: bool) -> bytes:
-        """Returns the latest reports, packed.
+    def packed_reports(self, other_zone: bool) -> bytes:
+        """Returns the latest load reports, packed.
 
         Args:
-            far: Whether they go to another zone, which hears seldom of this.
+            other_zone: Whether they go to another zone, to which messages are
+                less frequent.
         """
-        most = MAX_FAR_REPORTS if far else MAX_NEAR_REPORTS
+        limit = MAX_OTHER_ZONE_REPORTS if other_zone else MAX_SAME_ZONE_REPORTS
         return packed_rows.pack_reports(
-            itertools.islice(self.latest_reports(), most)
+            itertools.islice(self.latest_reports(), limit)
         )
 
     def latest_reports(self) -> Iterator[tuple[int, int, float]]:
@@ -75,24 +80,27 @@
         now = trio.current_time()
         for instance, report in reversed(self.loads.reports.items()):
             age = now - report.at
-            if age <= TOLD_SECONDS and instance in self.short:
-                yield self.short[instance], report.load, age
-
-    def told_requests(self) -> bytes:
-        """Returns this router's own requests, packed."""
+            if (
+                age <= MAX_SHARED_REPORT_AGE_SECONDS
+                and instance in self.short_ids
+            ):
+                yield self.short_ids[instance], report.load, age
+
+    def packed_requests(self) -> bytes:
+        """Returns the counts of this router's own requests, packed."""
         rows = (
-            (self.short[instance], count)
+            (self.short_ids[instance], count)
             for instance, count in self.loads.own.items()
-            if instance in self.short
+            if instance in self.short_ids
         )
         return packed_rows.pack_counts(itertools.islice(rows, MAX_REQUESTS))
 
-    def note(self, state: messages_forwarding.RouterState) -> None:
-        """Notes what another router knows."""
+    def merge(self, state: messages_forwarding.RouterState) -> None:
+        """Takes over the loads in another router's message."""
         for short, load, age in packed_rows.unpack_reports(state.reports):
             instance = self.instances.get(short)
             if instance is not None:
-                self.loads.note_told(instance, load, age)
+                self.loads.note_peer_report(instance, load, age)
         counts = {
             self.instances[short]: count
             for short, count in packed_rows.unpack_counts(state.requests)
--- a/lavenderbend/coordination/forwarding/silence.py
+++ b/lavenderbend/coordination/forwarding/silence.py
@@ -1,4 +1,4 @@
-"""Finds upstreams that fell silent while requests wait for them."""
+"""Detects upstreams that stop sending bytes while requests wait for them."""
 
 from __future__ import annotations
 
@@ -20,52 +20,56 @@
 T = TypeVar('T')
 
 CHECK_SECONDS = 0.1
-# events of all streams of an engine follow each other within some tens of
-# milliseconds; none from any of them for so long is no slow engine's
-DARK_SECONDS = 0.45
-# this router itself stood still for longer than a check takes
-LATE_SECONDS = 0.3
-
-# why a wait was given up
+# Events of all streams of an engine follow each other within some tens of
+# milliseconds; even a slow engine sends one of any stream within this time.
+SILENT_SECONDS = 0.45
+# Time between two checks from which on this router itself was suspended or
+# overloaded.
+MAX_CHECK_GAP_SECONDS = 0.3
+
+# Reasons for which a wait is abandoned.
 NO_BYTE = 'no byte in time'
 ALL_SILENT = 'silent to all its streams'
 SUSPECTED = 'taken for dead or out of reach'
 
 
 @attrs.define(eq=False)
-class Waiting:
+class UpstreamWait:
     """A request that waits for the next bytes of its upstream.
 
     Attributes:
         instance: The upstream.
-        limit: Seconds after which it is not waited for any longer.
-        may_repeat: Returns whether another upstream may go on, now.
-        scope: Cancelled to end the wait for what comes next.
-        since: Router clock of the last bytes, of the sending, or of the
-            moment from which bytes are waited for again.
-        flowing: Whether a stream has begun, so that bytes are due.
-        reading: Whether the upstream is waited for, and not the caller.
-        given_up: Why it was not waited for any longer, empty if it was.
+        limit: Seconds without bytes after which the wait is abandoned.
+        may_retry: Returns whether another upstream may continue the request
+            now.
+        scope: Cancelled to abandon the current read.
+        since: Router clock of the last bytes, of the sending of the request,
+            or of the start of the current read.
+        streaming: Whether a stream has begun, so that bytes are due.
+        reading: Whether the upstream is being read, rather than the caller
+            written to.
+        abandon_reason: Why the wait was abandoned, empty if it was not.
     """
 
     instance: str
     limit: float
-    may_repeat: Callable[[], bool]
+    may_retry: Callable[[], bool]
     scope: trio.CancelScope = attrs.field(factory=trio.CancelScope)
     since: float = attrs.field(factory=trio.current_time)
-    flowing: bool = False
+    streaming: bool = False
     reading: bool = True
-    given_up: str = ''
+    abandon_reason: str = ''
 
     async def read(self, operation: Callable[[], Awaitable[T]]) -> T:
         """Returns what one operation on the upstream returns.
 
-        Only this can be given up. A write to the caller that were cancelled
+        Only this operation can be abandoned. Cancelling a write to the caller
         would leave the answer half written: what has been read and counted
         would be missing, and the next upstream's bytes would follow the gap.
 
         Raises:
-            UpstreamStalled: It was given up; nothing that was read is lost.
+            UpstreamStalled: The wait was abandoned; no bytes that were read
+                are lost.
         """
         self.since = trio.current_time()
         self.scope = trio.CancelScope()
@@ -75,114 +79,126 @@
             self.since = trio.current_time()
             self.reading = False
             return result
-        raise errors.UpstreamStalled(self.given_up)
+        raise errors.UpstreamStalled(self.abandon_reason)
 
-    def give_up(self, reason: str) -> None:
-        """Ends the wait for the upstream."""
-        self.given_up = reason
+    def abandon(self, reason: str) -> None:
+        """Cancels the current read of the upstream."""
+        self.abandon_reason = reason
         self.scope.cancel()
 
 
-class SilenceWatch:
-    """Ends waits for upstreams that will not answer.
+class SilenceDetector:
+    """Abandons waits for upstreams that are not expected to answer.
 
-    An upstream whose VM lost power or whose path is cut closes nothing: each
-    request would wait out its own limit, and new ones would follow. One that
-    streams to several requests and is silent to all of them is taken for
-    dark at once; other routers are told by way of `health`.
+    An upstream whose VM lost power or whose network path is cut closes no
+    connection: each request would wait until its own limit, and new ones
+    would follow. One that streams to requests and sends nothing to any of
+    them is considered dead at once; `health` notifies the other routers.
 
     Attributes:
+        health: Told which upstreams are silent.
         waits: The requests that wait.
-        heard: Router clock of the last bytes of each upstream.
+        last_bytes_at: Router clock of the last bytes of each upstream.
     """
 
     def __init__(self, health: health_module.Health) -> None:
         self.health = health
-        self.waits: set[Waiting] = set()
-        self.heard: dict[str, float] = {}
+        self.waits: set[UpstreamWait] = set()
+        self.last_bytes_at: dict[str, float] = {}
 
     def begin(
         self,
         upstream: forwarding.Upstream,
         limit: float,
-        may_repeat: Callable[[], bool],
-    ) -> Waiting:
-        """Begins a wait; `end` must follow."""
-        waiting = Waiting(upstream.instance, limit, may_repeat)
-        self.waits.add(waiting)
-        return waiting
-
-    def note_bytes(self, waiting: Waiting) -> None:
-        """Notes that bytes have come."""
-        waiting.since = trio.current_time()
-        self.heard[waiting.instance] = waiting.since
-
-    def end(self, waiting: Waiting) -> None:
+        may_retry: Callable[[], bool],
+    ) -> UpstreamWait:
+        """Begins a wait; the caller must end it with `end`."""
+        wait = UpstreamWait(upstream.instance, limit, may_retry)
+        self.waits.add(wait)
+        return wait
+
+    def note_bytes(self, wait: UpstreamWait) -> None:
+        """Records that the upstream sent bytes."""
+        wait.since = trio.current_time()
+        self.last_bytes_at[wait.instance] = wait.since
+
+    def end(self, wait: UpstreamWait) -> None:
         """Ends a wait."""
-        self.waits.discard(waiting)
+        self.waits.discard(wait)
 
     async def run(self) -> None:
-        """Looks at all waits again and again."""
+        """Checks all waits periodically."""
         last = trio.current_time()
         while True:
             await trio.sleep(CHECK_SECONDS)
             now = trio.current_time()
-            if now - last > LATE_SECONDS:
-                # what looks silent may lie unread in this router's sockets
-                self.start_anew(now)
+            if now - last > MAX_CHECK_GAP_SECONDS:
+                # Bytes of upstreams that look silent may be unread in this
+                # router's sockets.
+                self.restart_waits(now)
             self.check(now)
             last = now
 
-    def start_anew(self, now: float) -> None:
-        """Counts all waits from now on."""
-        for waiting in self.waits:
-            waiting.since = now
+    def restart_waits(self, now: float) -> None:
+        """Counts the time of all waits from now on."""
+        for wait in self.waits:
+            wait.since = now
 
     def check(self, now: float) -> None:
-        """Ends the waits that are of no use any more."""
-        dark = self.dark(now)
-        for instance in dark:
+        """Suspects silent upstreams and abandons waits for them."""
+        silent = self.silent_upstreams(now)
+        for instance in silent:
             self.health.note_silent(instance)
-        for waiting in list(self.waits):
-            if not waiting.reading:
+        for wait in list(self.waits):
+            if not wait.reading:
                 continue
-            reason = self.reason(waiting, now - waiting.since, dark)
-            if reason and waiting.may_repeat():
-                waiting.give_up(reason)
-
-    def reason(self, waiting: Waiting, silent: float, dark: set[str]) -> str:
-        """Returns why a wait is of no use any more, empty if it is."""
-        if silent > waiting.limit:
+            reason = self.reason(wait, now - wait.since, silent)
+            if reason and wait.may_retry():
+                wait.abandon(reason)
+
+    def reason(
+        self, wait: UpstreamWait, seconds: float, silent: set[str]
+    ) -> str:
+        """Returns why a wait is to be abandoned, empty if it is not.
+
+        Args:
+            wait: The wait.
+            seconds: Time for which it has had no bytes.
+            silent: Upstreams that are silent to all their streams.
+        """
+        if seconds > wait.limit:
             return NO_BYTE
-        if silent <= DARK_SECONDS:
+        if seconds <= SILENT_SECONDS:
             return ''
-        if waiting.instance in dark:
+        if wait.instance in silent:
             return ALL_SILENT
-        if self.health.is_suspected(waiting.instance):
+        if self.health.is_suspected(wait.instance):
             return SUSPECTED
         return ''
 
-    def dark(self, now: float) -> set[str]:
-        """Returns the upstreams that stream to requests and are silent."""
-        flowing = {
-            one.instance for one in self.waits if one.flowing and one.reading
+    def silent_upstreams(self, now: float) -> set[str]:
+        """Returns the upstreams that are silent to all their streams."""
+        streaming = {
+            wait.instance
+            for wait in self.waits
+            if wait.streaming and wait.reading
         }
         return {
             instance
-            for instance in flowing
-            if now - self.latest(instance) > DARK_SECONDS
+            for instance in streaming
+            if now - self.last_activity(instance) > SILENT_SECONDS
         }
 
-    def latest(self, instance: str) -> float:
-        """Returns when an upstream was heard, or its waits began anew."""
+    def last_activity(self, instance: str) -> float:
+        """Returns the router clock of the latest bytes or restart of a wait."""
         since = [
-            one.since
-            for one in self.waits
-            if one.instance == instance and one.flowing
+            wait.since
+            for wait in self.waits
+            if wait.instance == instance and wait.streaming
         ]
-        return max(since, default=self.heard.get(instance, 0.0))
+        return max(since, default=self.last_bytes_at.get(instance, 0.0))
 
-    def heard_within(self, instance: str, seconds: float) -> bool:
-        """Returns whether bytes of an upstream came so lately."""
-        at = self.heard.get(instance, float('-inf'))
+    def received_within(self, instance: str, seconds: float) -> bool:
+        """Returns whether an upstream sent bytes within the last seconds."""
+        at = self.last_bytes_at.get(instance, float('-inf'))
         return trio.current_time() - at <= seconds
--- a/lavenderbend/coordination/forwarding/suspicions.py
+++ b/lavenderbend/coordination/forwarding/suspicions.py
@@ -1,4 +1,4 @@
-"""Upstreams that other routers found dead or out of reach."""
+"""Upstreams that other routers found dead or unreachable."""
 
 from __future__ import annotations
 
@@ -12,29 +12,30 @@
     from collections.abc import Callable
 
 SUSPECTED = 'suspected'
-MOST_SECONDS = 5.0
-# a router whose own way is cut finds all upstreams dead: in a fleet that sends
-# each upstream many requests a second, a second router soon finds it too
-FEW_ROUTERS = 8
-FINDERS_OF_FEW = 1
-FINDERS_OF_MANY = 2
+MAX_SUSPICION_SECONDS = 5.0
+# A router whose own network path is cut finds all upstreams dead. In a larger
+# fleet, which sends each upstream many requests a second, a second router
+# soon finds a dead one too, so that two reports are required there.
+SMALL_FLEET_ROUTERS = 8
+SMALL_FLEET_REPORTS = 1
+LARGE_FLEET_REPORTS = 2
 
 
 @facts_module.KINDS.register(SUSPECTED)
 class Suspected(facts_module.Kind):
     """An upstream that one router found dead; the source is that router."""
 
-    most_seconds = MOST_SECONDS
+    most_seconds = MAX_SUSPICION_SECONDS
 
 
 class Suspicions:
-    """Tells other routers of dead upstreams, and believes what they tell.
+    """Exchanges suspicions of dead upstreams with the other routers.
 
     Attributes:
-        facts: What is told.
+        facts: Gossiped facts, the suspicions among them.
         fleet_size: Returns how many routers there are.
-        believed: Called with an upstream and the seconds for which it is
-            taken for dead.
+        on_confirmed: Called with an upstream that enough routers suspect, and
+            the seconds for which it is considered dead.
     """
 
     def __init__(
@@ -42,23 +43,25 @@
     ) -> None:
         self.facts = facts
         self.fleet_size = fleet_size
-        self.believed: Callable[[str, float], None] = ignore
+        self.on_confirmed: Callable[[str, float], None] = ignore
 
-    def tell(self, instance: str, seconds: float) -> None:
-        """Tells of an upstream that this router found dead."""
+    def announce(self, instance: str, seconds: float) -> None:
+        """Notifies the other routers of an upstream that this one suspects."""
         self.facts.add(SUSPECTED, instance, self.facts.origin, seconds)
 
-    def learn(self, fact: facts_module.Fact) -> None:
-        """Believes that an upstream is dead if enough routers found so."""
+    def apply_suspicion(self, fact: facts_module.Fact) -> None:
+        """Confirms a suspicion if enough routers reported the upstream."""
         if fact.source == self.facts.origin:
             return
-        found = self.facts.of(SUSPECTED, fact.subject)
-        few = self.fleet_size() <= FEW_ROUTERS
-        if len(found) < (FINDERS_OF_FEW if few else FINDERS_OF_MANY):
+        reports = self.facts.of(SUSPECTED, fact.subject)
+        small = self.fleet_size() <= SMALL_FLEET_ROUTERS
+        if len(reports) < (
+            SMALL_FLEET_REPORTS if small else LARGE_FLEET_REPORTS
+        ):
             return
-        until = max(one.until for one in found)
-        self.believed(fact.subject, until - trio.current_time())
+        until = max(report.until for report in reports)
+        self.on_confirmed(fact.subject, until - trio.current_time())
 
 
 def ignore(instance: str, seconds: float) -> None:
-    """Believes nothing."""
+    """Does nothing; the default of `Suspicions.on_confirmed`."""
--- a/lavenderbend/coordination/forwarding/tickets.py
+++ b/lavenderbend/coordination/forwarding/tickets.py
@@ -77,7 +77,7 @@
     cutter: events.EventCutter = attrs.field(factory=events.EventCutter)
     used: list[str] = attrs.field(factory=list)
     placed: list[decisions.Attempt] = attrs.field(factory=list)
-    taken: reservations.Taken | None = None
+    taken: reservations.ActiveReservation | None = None
     unreachable: list[str] = attrs.field(factory=list)
     replaced: list[str] = attrs.field(factory=list)
     repeats: int = 0
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -115,23 +115,23 @@
         settings = self.forwarding
         self.exchanges = upstream_exchanges.UpstreamExchanges()
         self.crashes = crashes.Crashes(self.exchanges.accepts, self.peers.facts)
-        self.silence = silence.SilenceWatch(self.health)
+        self.silence = silence.SilenceDetector(self.health)
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
-        self.suspicions.believed = self.note_suspected
+        self.suspicions.on_confirmed = self.note_suspected
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
-        self.health.on_suspect = self.suspicions.tell
+        self.health.on_suspect = self.suspicions.announce
         self.peers.on_learned = {
             crashes.DEATH: self.crashes.learn,
             crashes.CLEARED: self.crashes.learn,
             departures.LEFT: self.departures.learn,
             departures.LEAVING: self.departures.learn_word,
-            suspicions.SUSPECTED: self.suspicions.learn,
+            suspicions.SUSPECTED: self.suspicions.apply_suspicion,
         }
-        self.budget = budget.RepeatBudget(
+        self.budget = budget.RetryBudget(
             repeat_settings(settings), self.peers.budget_parts
         )
         self.forwarder = forwarder.Forwarder(
@@ -214,7 +214,7 @@
 
         Not one that this router has just heard: the others may be cut off.
         """
-        if not self.silence.heard_within(instance, silence.DARK_SECONDS):
+        if not self.silence.received_within(instance, silence.SILENT_SECONDS):
             self.health.note_suspected(instance, seconds)
 
     def caller_limits(self) -> forwarding_state.CallerLimits:
@@ -335,9 +335,9 @@
 
 def repeat_settings(
     forwarding: forwarding_settings.ForwardingSettings,
-) -> budget.RepeatSettings:
+) -> budget.RetryBudgetSettings:
     """Returns what the fleet may repeat."""
-    return budget.RepeatSettings(
+    return budget.RetryBudgetSettings(
         forwarding.repeat_share,
         forwarding.repeat_extra,
         forwarding.repeat_window_seconds,
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -184,7 +184,7 @@
 ) -> dict[str, Any]:
     """Returns an upstream with its load."""
     step = app.explainer.step(upstream, '')
-    standing = app.chooser.health.standing(upstream.instance)
+    standing = app.chooser.health.describe(upstream.instance)
     live = upstream.vm.state is upstreams_module.VmState.LIVE
     return {
         'id': upstream.instance,
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -287,9 +287,9 @@
         self.departures = departures.Departures(
             self.snapshots, self.directory, found
         )
-        self.silence = silence.SilenceWatch(self.health)
-        self.budget = budget.RepeatBudget(
-            budget.RepeatSettings(0.2, 50.0, 10.0), lambda: fleet
+        self.silence = silence.SilenceDetector(self.health)
+        self.budget = budget.RetryBudget(
+            budget.RetryBudgetSettings(0.2, 50.0, 10.0), lambda: fleet
         )
         self.entry = entry.Entry(self.snapshots, HEADERS, 2.0)
         self.shared_loads = shared_loads.SharedLoads(self.snapshots, self.loads)
@@ -456,7 +456,7 @@
             crashes.CLEARED: self.crashes.learn,
             departures.LEFT: self.departures.learn,
             departures.LEAVING: self.departures.learn_word,
-            suspicions.SUSPECTED: self.suspicions.learn,
+            suspicions.SUSPECTED: self.suspicions.apply_suspicion,
         }
         routers[host] = self
 
--- a/tests/test_coordination/test_forwarding_facts.py
+++ b/tests/test_coordination/test_forwarding_facts.py
@@ -117,7 +117,7 @@
 async def test_fact_ends_with_its_time_whatever_it_says(autojump_clock):
     known = make()
     known.add(suspicions.SUSPECTED, 'e1', '10.0.0.2', 3600.0)
-    await trio.sleep(suspicions.MOST_SECONDS + 0.1)
+    await trio.sleep(suspicions.MAX_SUSPICION_SECONDS + 0.1)
     assert known.of(suspicions.SUSPECTED, 'e1') == []
     known.tidy()
     assert not known.has(suspicions.SUSPECTED)
@@ -146,35 +146,38 @@
     assert waited.is_set()
 
 
-def suspecting(size):
-    believed = []
-    one = suspicions.Suspicions(
-        facts.Facts('10.0.0.1', lambda fact: one.learn(fact)), lambda: size
+def make_suspicions(size):
+    confirmed = []
+    subject = suspicions.Suspicions(
+        facts.Facts('10.0.0.1', lambda fact: subject.apply_suspicion(fact)),
+        lambda: size,
     )
-    one.believed = lambda instance, seconds: believed.append(
+    subject.on_confirmed = lambda instance, seconds: confirmed.append(
         (instance, round(seconds, 1))
     )
-    return one, believed
+    return subject, confirmed
 
 
-async def test_one_router_of_many_is_not_believed(autojump_clock):
-    # A router whose own way is cut finds one upstream after the other dead.
-    # Believed by two hundred others it would empty the caches of them all.
-    one, believed = suspecting(200)
-    one.facts.take_all([['suspected', 'e1', '10.0.0.2', 0, 1000]])
-    one.facts.take_all([['suspected', 'e2', '10.0.0.2', 0, 1000]])
-    assert believed == []
-    one.facts.take_all([['suspected', 'e1', '10.0.0.3', 0, 2000]])
-    assert believed == [('e1', 2.0)]
-
-
-async def test_one_router_of_few_is_believed(autojump_clock):
-    one, believed = suspecting(4)
-    one.facts.take_all([['suspected', 'e1', '10.0.0.2', 200, 1000]])
-    assert believed == [('e1', 0.8)]
-
-
-async def test_own_finding_is_no_news(autojump_clock):
-    one, believed = suspecting(4)
-    one.tell('e1', 1.0)
-    assert believed == []
+async def test_one_report_confirms_no_suspicion_in_a_large_fleet(
+    autojump_clock,
+):
+    # A router whose own network path is cut finds one upstream after the other
+    # dead. If 200 others acted on that, all prompt caches would be lost.
+    subject, confirmed = make_suspicions(200)
+    subject.facts.take_all([['suspected', 'e1', '10.0.0.2', 0, 1000]])
+    subject.facts.take_all([['suspected', 'e2', '10.0.0.2', 0, 1000]])
+    assert confirmed == []
+    subject.facts.take_all([['suspected', 'e1', '10.0.0.3', 0, 2000]])
+    assert confirmed == [('e1', 2.0)]
+
+
+async def test_one_report_confirms_a_suspicion_in_a_small_fleet(autojump_clock):
+    subject, confirmed = make_suspicions(4)
+    subject.facts.take_all([['suspected', 'e1', '10.0.0.2', 200, 1000]])
+    assert confirmed == [('e1', 0.8)]
+
+
+async def test_own_report_confirms_no_suspicion(autojump_clock):
+    subject, confirmed = make_suspicions(4)
+    subject.announce('e1', 1.0)
+    assert confirmed == []
--- a/tests/test_coordination/test_forwarding_half_done.py
+++ b/tests/test_coordination/test_forwarding_half_done.py
@@ -21,7 +21,7 @@
 NAMES = ('e1', 'e2', 'e3', 'e4')
 SERVICE = 'chat'
 # the used part of it is one repeat
-ONE_REPEAT = budget.RepeatSettings(0.0, 1.0 / budget.USED_PART, 10.0)
+ONE_REPEAT = budget.RetryBudgetSettings(0.0, 1.0 / budget.USABLE_FRACTION, 10.0)
 
 
 def upstream(name):
@@ -160,7 +160,7 @@
     await the_router.ask(x_prompt_parts=parts)
     place = the_router.exchanges.names()[0]
     health = the_router.health
-    health.hold_back(health.record(place), trio.current_time() + 1.0)
+    health.extend_avoidance(health.record(place), trio.current_time() + 1.0)
     answer, _ = await the_router.ask(x_prompt_parts=parts)
     assert answer.status == 200
     assert len(the_router.exchanges.sent) == 3
--- a/tests/test_coordination/test_forwarding_lines.py
+++ b/tests/test_coordination/test_forwarding_lines.py
@@ -272,5 +272,5 @@
     known.note_suspected('e1', 2.0)
     (line,) = named(lines, 'upstream_avoided')
     assert line['upstream'] == 'e1'
-    assert line['cause'] == health.FOUND_BY_OTHERS
+    assert line['cause'] == health.REPORTED_BY_PEERS
     assert line['seconds'] == 2.0
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -1,4 +1,4 @@
-"""Upstreams that one router counts for all."""
+"""Reservations with the router that owns an upstream."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 HELD = owned_loads.NoteKind.HELD
 ENDED = owned_loads.NoteKind.ENDED
 BEGUN = owned_loads.NoteKind.BEGUN
-PROMPT = reservations.Prompt(chat=77, tokens=9000, own_tokens=500)
-# of all callers, those whose answers begin within the time they want
-IN_TIME = 0.95
-# of all requests, those that may find an upstream over its bound
-OVER_BOUND = 0.03
+PROMPT = reservations.PromptSummary(chat=77, tokens=9000, own_tokens=500)
+# Least fraction of requests whose answers begin within the time callers expect.
+MIN_IN_TIME_FRACTION = 0.95
+# Greatest fraction of requests that may find an upstream over its load bound.
+MAX_OVER_BOUND_FRACTION = 0.03
 
 
-def asked(number=1, upstream=5, chat=77, milliseconds=5000, host='10.0.0.2'):
+def request(number=1, upstream=5, chat=77, milliseconds=5000, host='10.0.0.2'):
     return messages_forwarding.ReservationRequest(
         number, host, upstream, 'zone-0', chat, 9000, 500, milliseconds
     )
@@ -44,71 +44,71 @@
     return owned_loads.OwnedLoads('10.0.0.1')
 
 
-async def test_each_sees_those_before_it(owned, autojump_clock):
-    first = owned.reserve(asked(1))
+async def test_reply_holds_the_load_of_earlier_requests(owned, autojump_clock):
+    first = owned.reserve(request(1))
     assert (first.load, first.unread, first.holders) == (0, 0, [])
-    second = owned.reserve(asked(2, chat=78))
+    second = owned.reserve(request(2, chat=78))
     assert (second.load, second.unread) == (1, 9000)
 
 
-async def test_question_that_comes_twice_is_counted_once(owned, autojump_clock):
-    # The answer was lost on its way, and the router asked again.
-    assert owned.reserve(asked(1)).load == 0
-    assert owned.reserve(asked(1)).load == 0
-    assert owned.reserve(asked(2)).load == 1
+async def test_request_received_twice_is_counted_once(owned, autojump_clock):
+    # The reply was lost, and the router sent its request again.
+    assert owned.reserve(request(1)).load == 0
+    assert owned.reserve(request(1)).load == 0
+    assert owned.reserve(request(2)).load == 1
 
 
-async def test_prompt_that_was_read_delays_nobody(owned, autojump_clock):
-    owned.reserve(asked(1))
-    owned.take(notes([BEGUN, 1, 5, 77, 0]))
-    later = owned.reserve(asked(2))
+async def test_processed_prompt_has_no_unread_tokens(owned, autojump_clock):
+    owned.reserve(request(1))
+    owned.apply_notes(notes([BEGUN, 1, 5, 77, 0]))
+    later = owned.reserve(request(2))
     assert (later.load, later.unread, later.holders) == (1, 0, [5])
-    # the chat is held there now: only its own part is read
-    assert owned.reserve(asked(3)).unread == 500
+    # The chat is cached there now: only its own part is to be processed.
+    assert owned.reserve(request(3)).unread == 500
 
 
-async def test_request_of_a_router_that_died_counts_until_its_deadline(
+async def test_request_of_a_dead_router_counts_until_its_deadline(
     owned, autojump_clock
 ):
-    # The router that sent a request is killed: nobody says that it ended.
-    owned.reserve(asked(1, milliseconds=1000))
+    # The router that sent a request is killed and sends no end of it.
+    owned.reserve(request(1, milliseconds=1000))
     await trio.sleep(0.9)
-    assert owned.reserve(asked(2, milliseconds=1)).load == 1
+    assert owned.reserve(request(2, milliseconds=1)).load == 1
     await trio.sleep(0.2)
-    assert owned.reserve(asked(3)).load == 0
+    assert owned.reserve(request(3)).load == 0
 
 
-async def test_holders_are_few_and_the_latest_first(owned, autojump_clock):
+async def test_holders_are_limited_and_latest_first(owned, autojump_clock):
     for holder in (5, 6, 7, 8):
-        owned.take(notes([HELD, 0, 5, 77, holder]))
+        owned.apply_notes(notes([HELD, 0, 5, 77, holder]))
         await trio.sleep(0.1)
     assert owned.holders(77) == [8, 7, 6]
 
 
 @given(st.lists(st.integers(0, 30), min_size=1, max_size=60), st.randoms())
 @settings(max_examples=60, deadline=None)
-def test_notes_that_come_twice_and_in_any_order_are_counted_once(ends, rng):
+def test_duplicate_and_reordered_notes_are_counted_once(ends, rng):
     async def run():
         owned = owned_loads.OwnedLoads('10.0.0.1')
         for number in range(31):
-            owned.reserve(asked(number))
+            owned.reserve(request(number))
         rows = [[ENDED, number, 5, 77, 0] for number in ends * 2]
         rows += [[BEGUN, number, 5, 77, 0] for number in ends]
         rng.shuffle(rows)
-        owned.take(notes(*rows))
-        return owned.reserve(asked(99)).load
+        owned.apply_notes(notes(*rows))
+        return owned.reserve(request(99)).load
 
     assert trio.run(run) == 31 - len(set(ends))
 
 
-async def test_row_of_a_later_version_is_passed_over(owned, autojump_clock):
-    owned.reserve(asked(1))
-    owned.take(notes([99, 1, 5, 77, 0], [ENDED, 1, 5, 77, 0]))
-    assert owned.reserve(asked(2)).load == 0
+async def test_row_of_a_later_version_is_ignored(owned, autojump_clock):
+    owned.reserve(request(1))
+    owned.apply_notes(notes([99, 1, 5, 77, 0], [ENDED, 1, 5, 77, 0]))
+    assert owned.reserve(request(2)).load == 0
 
 
-async def started(nursery, size, **kept):
-    fleet = world.make(nursery, size, engines=round(size * 0.6), **kept)
+async def started(nursery, size, **options):
+    fleet = world.make(nursery, size, engines=round(size * 0.6), **options)
     await fleet.start_all(list(range(size)))
     await trio.sleep(4.0)
     return fleet
@@ -119,89 +119,88 @@
 
 
 @pytest.mark.parametrize('size', [20, 120])
-async def test_all_routers_are_counted_by_one_owner(
+async def test_one_owner_counts_requests_of_all_routers(
     nursery, autojump_clock, size
 ):
-    # Routers of all zones send to one upstream in the same moment. What they
-    # tell each other of loads comes half a second later: each took the
-    # upstream for idle.
+    # Routers of all zones send to one upstream at the same moment. Gossiped
+    # loads arrive half a second later: each router took the upstream for idle.
     fleet = await started(nursery, size, loss=0.0)
     upstream = upstream_of(fleet)
-    found = []
+    replies = []
     for router in fleet.routers.values():
-        asks = router.peers.reservations
-        found.append(await asks.ask(upstream, PROMPT, 5.0))
-    assert [one.load for one in found] == list(range(size))
-    assert {one.owner for one in found} <= {
+        client = router.peers.reservations
+        replies.append(await client.reserve(upstream, PROMPT, 5.0))
+    assert [reply.load for reply in replies] == list(range(size))
+    assert {reply.owner for reply in replies} <= {
         router.host
         for router in fleet.routers.values()
         if router.zone == upstream.vm.availability_zone
     }
-    assert len({one.owner for one in found}) == 1
+    assert len({reply.owner for reply in replies}) == 1
 
 
-async def test_owner_that_died_costs_one_short_wait(nursery, autojump_clock):
-    # The owner of an upstream is killed. A request that asks it waits for
-    # what only makes its place better, and the next ones do not wait.
+async def test_dead_owner_delays_a_request_once_and_briefly(
+    nursery, autojump_clock
+):
+    # The owner of an upstream is killed. A request waits only briefly for a
+    # reservation, which merely improves its choice; the next do not wait.
     fleet = await started(nursery, 20, loss=0.0)
     upstream = upstream_of(fleet)
-    asker = fleet.routers[0].peers.reservations
-    owner = (await asker.ask(upstream, PROMPT, 5.0)).owner
+    client = fleet.routers[0].peers.reservations
+    owner = (await client.reserve(upstream, PROMPT, 5.0)).owner
     number = next(n for n, r in fleet.routers.items() if r.host == owner)
     assert number != 0
     fleet.end(number)
     begin = trio.current_time()
-    assert await asker.ask(upstream, PROMPT, 5.0) is None
+    assert await client.reserve(upstream, PROMPT, 5.0) is None
     waited = trio.current_time() - begin
-    assert waited <= reservations.ANSWER_SECONDS + 0.001
-    await asker.ask(upstream, PROMPT, 5.0)
-    assert trio.current_time() - begin <= 2 * reservations.ANSWER_SECONDS
+    assert waited <= reservations.REPLY_TIMEOUT_SECONDS + 0.001
+    await client.reserve(upstream, PROMPT, 5.0)
+    assert trio.current_time() - begin <= 2 * reservations.REPLY_TIMEOUT_SECONDS
     await trio.sleep(6.0)
-    # the first one that is asked may be the dead one once more
-    found = [await asker.ask(upstream, PROMPT, 5.0) for _ in range(3)]
-    assert owner not in {one.owner for one in found if one is not None}
-    assert found[-1] is not None
+    # The first request may go to the dead router once more.
+    replies = [await client.reserve(upstream, PROMPT, 5.0) for _ in range(3)]
+    assert owner not in {reply.owner for reply in replies if reply is not None}
+    assert replies[-1] is not None
 
 
-async def test_lost_question_is_put_again(nursery, autojump_clock):
+async def test_lost_request_is_sent_again(nursery, autojump_clock):
     fleet = await started(nursery, 20, loss=0.0)
     upstream = upstream_of(fleet)
-    asker = fleet.routers[0].peers.reservations
-    owner = (await asker.ask(upstream, PROMPT, 5.0)).owner
+    client = fleet.routers[0].peers.reservations
+    owner = (await client.reserve(upstream, PROMPT, 5.0)).owner
     begin = trio.current_time()
     fleet.net.cut = lambda source, target: trio.current_time() < begin + 0.005
-    found = await asker.ask(upstream, PROMPT, 5.0)
-    assert (found.owner, found.load) == (owner, 1)
+    reply = await client.reserve(upstream, PROMPT, 5.0)
+    assert (reply.owner, reply.load) == (owner, 1)
 
 
-async def test_second_answer_to_one_question_gives_nothing_back(
+async def test_second_reply_to_one_request_ends_no_reservation(
     nursery, autojump_clock
 ):
-    # Messages take longer than a question waits before it is put again: both
-    # answers come, and the second one after the request was sent.
+    # Messages take longer than the time after which a reservation request is
+    # sent again: two replies arrive, the second after the request was sent.
     fleet = await started(nursery, 20, loss=0.0)
     upstream = upstream_of(fleet)
-    asker = fleet.routers[0].peers.reservations
-    await asker.ask(upstream, PROMPT, 5.0)
+    client = fleet.routers[0].peers.reservations
+    await client.reserve(upstream, PROMPT, 5.0)
     fleet.net.delay = lambda source, target: 0.007
-    assert (await asker.ask(upstream, PROMPT, 5.0)).load == 1
+    assert (await client.reserve(upstream, PROMPT, 5.0)).load == 1
     await trio.sleep(0.5)
-    assert (await asker.ask(upstream, PROMPT, 5.0)).load == 2
+    assert (await client.reserve(upstream, PROMPT, 5.0)).load == 2
 
 
-async def test_answer_that_comes_too_late_is_given_back(
-    nursery, autojump_clock
-):
+async def test_reservation_of_a_late_reply_is_ended(nursery, autojump_clock):
     fleet = await started(nursery, 20, loss=0.0)
     upstream = upstream_of(fleet)
-    asker = fleet.routers[0].peers.reservations
-    first = await asker.ask(upstream, PROMPT, 5.0)
-    asker.note(first, ENDED, 0)
+    client = fleet.routers[0].peers.reservations
+    first = await client.reserve(upstream, PROMPT, 5.0)
+    client.queue_note(first, ENDED, 0)
     fleet.net.delay = lambda source, target: 0.05
-    assert await asker.ask(upstream, PROMPT, 5.0) is None
+    assert await client.reserve(upstream, PROMPT, 5.0) is None
     await trio.sleep(1.5)
     fleet.net.delay = lambda source, target: 0.001
-    assert (await asker.ask(upstream, PROMPT, 5.0)).load == 0
+    assert (await client.reserve(upstream, PROMPT, 5.0)).load == 0
 
 
 @pytest.fixture
@@ -219,16 +218,14 @@
     return prompts.ticket_of(parts)
 
 
-async def test_chat_goes_to_its_place_while_that_reads_nothing(
-    chats, autojump_clock
-):
-    found = await chats.placing.choose(ticket())
+async def test_chat_goes_to_its_idle_preferred_upstream(chats, autojump_clock):
+    chosen = await chats.placing.choose(ticket())
     places = chats.chooser.directory.candidates(world.SERVICE).places
-    assert found.upstream.instance == places.first('chat-1')
-    assert found.reason == choice.PROMPT_CACHED
+    assert chosen.upstream.instance == places.first('chat-1')
+    assert chosen.reason == choice.PROMPT_CACHED
 
 
-async def test_chat_leaves_a_place_that_reads_long_prompts(
+async def test_chat_avoids_a_preferred_upstream_with_long_prompts(
     chats, autojump_clock
 ):
     first = await chats.placing.choose(ticket())
@@ -237,76 +234,78 @@
     while places.first(f'chat-{number}') != first.upstream.instance:
         number += 1
     other = ticket(f'chat-{number}')
-    found = await chats.placing.choose(other)
-    assert found.upstream.instance != first.upstream.instance
-    assert found.reason == placing.LESS_UNREAD
-    assert [one.upstream for one in found.passed_over] == [
+    chosen = await chats.placing.choose(other)
+    assert chosen.upstream.instance != first.upstream.instance
+    assert chosen.reason == placing.LESS_UNREAD
+    assert [skipped.upstream for skipped in chosen.passed_over] == [
         first.upstream.instance
     ]
-    assert found.passed_over[0].reason == placing.MORE_UNREAD
+    assert chosen.passed_over[0].reason == placing.MORE_UNREAD
 
 
 @pytest.mark.parametrize(
     ('tokens', 'goes_back'), [(30_000, True), (8600, False)]
 )
-async def test_long_chat_comes_back_to_who_holds_it(
+async def test_long_chat_returns_to_the_upstream_that_holds_it(
     chats, autojump_clock, tokens, goes_back
 ):
-    # A chat was served elsewhere while its place was dead. The router that
-    # has its next request did not see that; the owner of the place did. A
-    # long one goes where it is held; a short one is copied to its place, so
-    # that an engine that was dead has chats again.
+    # A chat was served elsewhere while its preferred upstream was dead. The
+    # router of its next request did not see that, the owner did. A long chat
+    # goes to its holder; a short one is copied, so that a restarted engine has
+    # chats again.
     first = ticket(shared_tokens=tokens)
-    found = await chats.placing.choose(first)
-    place = found.upstream.instance
+    chosen = await chats.placing.choose(first)
+    preferred = chosen.upstream.instance
     holder = next(
-        one for one in chats.placing.instances.values() if one != place
+        instance
+        for instance in chats.placing.instances.values()
+        if instance != preferred
     )
-    first.taken.reservations.note(
-        first.taken.place, HELD, first.taken.chat, hashing.short_id(holder)
+    first.taken.reservations.queue_note(
+        first.taken.preferred, HELD, first.taken.chat, hashing.short_id(holder)
     )
-    first.taken.ended()
+    first.taken.note_ended()
     await trio.sleep(0.5)
     again = ticket(shared_tokens=tokens)
-    found = await chats.placing.choose(again)
-    assert found.upstream.instance == (holder if goes_back else place)
+    chosen = await chats.placing.choose(again)
+    assert chosen.upstream.instance == (holder if goes_back else preferred)
     assert again.taken.holders == [holder]
 
 
 async def test_report_over_the_bound_counts_against_a_new_owner(
     chats, autojump_clock
 ):
-    # An owner that has just become one counts from nothing, and would send
-    # requests to an upstream that is over its bound.
+    # A router that has just become an owner starts counting at zero, and would
+    # send requests to an upstream that is over its bound.
     places = chats.chooser.directory.candidates(world.SERVICE).places
-    place = places.first('chat-1')
-    chats.router.loads.note_report(place, b'30,0,32')
-    found = await chats.placing.choose(ticket())
-    assert found.upstream.instance != place
-    assert found.load < found.allowed
+    preferred = places.first('chat-1')
+    chats.router.loads.note_report(preferred, b'30,0,32')
+    chosen = await chats.placing.choose(ticket())
+    assert chosen.upstream.instance != preferred
+    assert chosen.load < chosen.allowed
 
 
-async def test_upstream_that_leaves_while_owners_are_asked_is_not_chosen(
+async def test_upstream_that_leaves_during_reservations_is_not_chosen(
     chats, nursery, autojump_clock
 ):
     places = chats.chooser.directory.candidates(world.SERVICE).places
-    place = places.first('chat-1')
+    preferred = places.first('chat-1')
     subject = ticket()
-    found = []
+    choices = []
 
     async def choose():
-        found.append(await chats.placing.choose(subject))
+        choices.append(await chats.placing.choose(subject))
 
     nursery.start_soon(choose)
     await trio.sleep(0.0)
-    chats.chooser.directory.misplaced.add(place)
+    chats.chooser.directory.misplaced.add(preferred)
     await trio.sleep(0.2)
-    assert found[0].upstream.instance != place
+    assert choices[0].upstream.instance != preferred
     if subject.taken is not None:
-        assert subject.taken.reservation.instance != place
+        assert subject.taken.reservation.instance != preferred
 
 
-async def test_nobody_is_asked_in_a_small_fleet(nursery, autojump_clock):
+async def test_small_fleet_makes_no_reservations(nursery, autojump_clock):
     fleet = await started(nursery, placing.SMALL_FLEET, loss=0.0)
     chats = prompts.Chats(fleet.routers[0], by_owners=True)
     subject = ticket()
@@ -315,66 +314,64 @@
 
 
 @pytest.mark.parametrize('size', [30, 90])
-async def test_prompts_begin_in_time_while_no_engine_holds_any(
+async def test_prompts_begin_in_time_while_all_caches_are_empty(
     nursery, autojump_clock, size
 ):
-    # All callers come at once, twice as many as usual, and no engine has read
-    # anything. Placed by hashes alone, a fifth of the long prompts queued
-    # behind others while engines beside them were idle.
+    # All callers arrive at once, twice as many as usual, and all prompt caches
+    # are empty. With choices by hashing alone, a fifth of the long prompts
+    # queued behind others while other engines were idle.
     fleet = await started(nursery, size)
-    found = prompts.Prompts(fleet, by_owners=True, rate=2.0)
-    await found.play(prompts.BEGINNING_SECONDS)
-    figures = found.figures()
-    assert figures['long_in_time'] >= IN_TIME
-    assert figures['short_in_time'] >= IN_TIME
-    assert figures['over_bound'] <= OVER_BOUND
+    traffic = prompts.Prompts(fleet, by_owners=True, rate=2.0)
+    await traffic.play(prompts.BEGINNING_SECONDS)
+    figures = traffic.figures()
+    assert figures['long_in_time'] >= MIN_IN_TIME_FRACTION
+    assert figures['short_in_time'] >= MIN_IN_TIME_FRACTION
+    assert figures['over_bound'] <= MAX_OVER_BOUND_FRACTION
 
 
 @pytest.mark.parametrize('size', [30, 100])
-async def test_chat_that_all_ask_for_overloads_no_engine(
-    nursery, autojump_clock, size
-):
-    # A fifth of all requests are of one chat. Its place is full, and so are
-    # the next in its order; routers that knew late of each other's requests
-    # sent theirs to the same engine, which then held over twice the mean.
+async def test_popular_chat_overloads_no_engine(nursery, autojump_clock, size):
+    # A fifth of all requests are of one chat. Its preferred upstream and the
+    # next in its order are full; routers that learned late of each other's
+    # requests sent theirs to one engine, which then held over twice the mean.
     fleet = await started(nursery, size)
-    found = prompts.Prompts(fleet, by_owners=True)
-    await found.play(prompts.BEGINNING_SECONDS)
-    found.figures()
-    found.hot_part = 0.2
-    await found.play(6.0)
-    figures = found.figures()
-    assert figures['over_bound'] <= OVER_BOUND
-    assert figures['long_in_time'] >= IN_TIME
-    assert figures['short_in_time'] >= IN_TIME
-
-
-async def test_full_upstreams_are_passed_by_until_one_has_room(
+    traffic = prompts.Prompts(fleet, by_owners=True)
+    await traffic.play(prompts.BEGINNING_SECONDS)
+    traffic.figures()
+    traffic.hot_part = 0.2
+    await traffic.play(6.0)
+    figures = traffic.figures()
+    assert figures['over_bound'] <= MAX_OVER_BOUND_FRACTION
+    assert figures['long_in_time'] >= MIN_IN_TIME_FRACTION
+    assert figures['short_in_time'] >= MIN_IN_TIME_FRACTION
+
+
+async def test_full_upstreams_are_skipped_until_one_has_capacity(
     chats, autojump_clock
 ):
     places = chats.chooser.directory.candidates(world.SERVICE).places
     order = list(places.order('chat-1'))
-    owners = chats.placing.reservations
+    reserving = chats.placing.reservations
     bound = chats.chooser.allowed(places.sample)
     for name in order[:5]:
         upstream = chats.placing.chooser.directory.known(name)
         for _ in range(bound):
-            found = await owners.ask(upstream, PROMPT, 5.0)
-            assert found is not None, (name, owners.owners.members.far)
-            owners.note(found, BEGUN, 0)
+            reply = await reserving.reserve(upstream, PROMPT, 5.0)
+            assert reply is not None, (name, reserving.owners.members.far)
+            reserving.queue_note(reply, BEGUN, 0)
     await trio.sleep(0.5)
-    found = await chats.placing.choose(ticket())
-    assert found.upstream.instance == order[5]
-    assert [one.reason for one in found.passed_over] == (
+    chosen = await chats.placing.choose(ticket())
+    assert chosen.upstream.instance == order[5]
+    assert [skipped.reason for skipped in chosen.passed_over] == (
         [choice.OVER_ITS_BOUND] * 5
     )
 
 
-def halves_cut(fleet, both_ways):
-    """Returns what parts the routers of every zone into two halves.
+def partition(fleet, both_ways):
+    """Returns a cut of the network between two halves of each zone's routers.
 
-    One way, those of one half still hear of the others and ask them, but
-    are not heard.
+    Unless it is both ways, routers of the second half reach those of the
+    first, while messages of the first half to the second are lost.
     """
     first = {
         router.host
@@ -390,16 +387,16 @@
     return cut
 
 
-def owned_twice(fleet):
-    """Returns how many upstreams routers of their zone see two owners of."""
+def count_owned_twice(fleet):
+    """Returns how many upstreams have two owners in the view of their zone."""
     owners = collections.defaultdict(set)
     for upstream in fleet.store.content.upstreams.values():
         short = hashing.short_id(upstream.instance)
         for router in fleet.routers.values():
             if router.zone == upstream.vm.availability_zone:
-                asked = router.peers.reservations.owners
-                owners[short].add(asked.own_of_zone(short))
-    return sum(len(found) > 1 for found in owners.values())
+                view = router.peers.reservations.owners
+                owners[short].add(view.owner_in_zone(short))
+    return sum(len(hosts) > 1 for hosts in owners.values())
 
 
 @pytest.mark.parametrize('both_ways', [False, True])
@@ -407,15 +404,15 @@
 async def test_two_owners_of_an_upstream_overload_no_engine(
     nursery, autojump_clock, size, both_ways
 ):
-    # two halves that do not hear each other own the same upstreams, and
-    # neither owner counts what the other does
+    # During a partition both halves of a zone have an owner of the same
+    # upstream, and neither owner counts the requests of the other half.
     fleet = await started(nursery, size)
-    found = prompts.Prompts(fleet, by_owners=True, hot_part=0.2)
-    await found.play(prompts.BEGINNING_SECONDS)
-    fleet.net.cut = halves_cut(fleet, both_ways)
-    await found.play(4.0)
-    found.figures()
-    await found.play(4.0)
-
-    assert owned_twice(fleet) > 0
-    assert found.figures()['over_bound'] <= OVER_BOUND
+    traffic = prompts.Prompts(fleet, by_owners=True, hot_part=0.2)
+    await traffic.play(prompts.BEGINNING_SECONDS)
+    fleet.net.cut = partition(fleet, both_ways)
+    await traffic.play(4.0)
+    traffic.figures()
+    await traffic.play(4.0)
+
+    assert count_owned_twice(fleet) > 0
+    assert traffic.figures()['over_bound'] <= MAX_OVER_BOUND_FRACTION
--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -345,8 +345,8 @@
 async def test_parts_of_the_budget_stay_under_the_whole(autojump_clock):
     # Seven routers that hear nothing of each other, and every request fails:
     # together they repeat no more than the fleet may in any window.
-    settings = budget.RepeatSettings(0.2, 54.0, 10.0)
-    routers = [budget.RepeatBudget(settings, lambda: 7) for _ in range(7)]
+    settings = budget.RetryBudgetSettings(0.2, 54.0, 10.0)
+    routers = [budget.RetryBudget(settings, lambda: 7) for _ in range(7)]
     repeats = collections.deque()
     requests = collections.deque()
     for _ in range(400):
@@ -366,7 +366,7 @@
 
 
 async def test_router_that_knows_no_fleet_takes_no_part(autojump_clock):
-    one = budget.RepeatBudget(budget.RepeatSettings(0.2, 54.0), lambda: 0)
+    one = budget.RetryBudget(budget.RetryBudgetSettings(0.2, 54.0), lambda: 0)
     assert not any(one.try_take('desk') for _ in range(100))
     for _ in range(100):
         one.note_request('desk')
@@ -374,7 +374,7 @@
 
 
 async def test_budget_of_one_service_is_not_that_of_another(autojump_clock):
-    one = budget.RepeatBudget(budget.RepeatSettings(0.0, 10.0), lambda: 1)
+    one = budget.RetryBudget(budget.RetryBudgetSettings(0.0, 10.0), lambda: 1)
     while one.try_take('desk'):
         pass
     assert one.try_take('chat')
@@ -436,11 +436,11 @@
     known = health.Health()
     spans = []
     for _ in range(3):
-        while not known.held_back():
+        while not known.deprioritized():
             known.note_failure('e1')
         began = trio.current_time()
         await trio.sleep(known.records['e1'].avoid_until - began)
-        assert known.held_back() == set()
+        assert known.deprioritized() == set()
         spans.append(trio.current_time() - began)
     assert spans[0] < spans[1] < spans[2]
 
@@ -458,10 +458,10 @@
             else:
                 known.note_success(name)
         await trio.sleep(0.1)
-        assert known.held_back() == set()
+        assert known.deprioritized() == set()
     for _ in range(100):
         known.note_failure('e1', names)
-    assert known.held_back() == {'e1'}
+    assert known.deprioritized() == {'e1'}
 
 
 async def test_few_failures_among_many_successes_are_borne(autojump_clock):
@@ -473,4 +473,4 @@
         else:
             known.note_success('e1')
         await trio.sleep(0.1)
-        assert known.held_back() == set()
+        assert known.deprioritized() == set()
--- a/tests/test_coordination/test_forwarding_path.py
+++ b/tests/test_coordination/test_forwarding_path.py
@@ -384,7 +384,7 @@
     names = tuple(f'e{number}' for number in range(1, 10))
     exchanges = fakes.Exchanges(**dict.fromkeys(names, [fakes.not_run(421)]))
     the_router = router(exchanges, ONCE, names)
-    the_router.budget.settings = budget.RepeatSettings(0.0, 2.5, 10.0)
+    the_router.budget.settings = budget.RetryBudgetSettings(0.0, 2.5, 10.0)
     _, error = await the_router.ask()
     assert isinstance(error, errors.NoUpstream)
     assert len(exchanges.sent) == 3
--- a/tests/test_coordination/test_forwarding_removals.py
+++ b/tests/test_coordination/test_forwarding_removals.py
@@ -98,7 +98,7 @@
     assert known.load('e1') == 3
     await trio.sleep(2.0)
     assert known.load('e1') == 0
-    assert not known.told
+    assert not known.peer_totals
 
 
 async def test_report_told_by_another_router_counts_with_own_requests(
@@ -112,19 +112,19 @@
     known.begin('e1')
     known.begin('e1')
     await trio.sleep(0.25)
-    known.note_told('e1', 9, 0.5)
+    known.note_peer_report('e1', 9, 0.5)
     assert known.load('e1') == 11
     # older than what is known, and too old
-    known.note_told('e1', 3, 0.6)
-    known.note_told('e2', 3, loads.REPORT_SECONDS + 0.1)
+    known.note_peer_report('e1', 3, 0.6)
+    known.note_peer_report('e2', 3, loads.REPORT_LIFETIME_SECONDS + 0.1)
     assert [known.load(name) for name in ('e1', 'e2')] == [11, 0]
-    known.note_told('e1', 4, 0.1)
+    known.note_peer_report('e1', 4, 0.1)
     assert known.load('e1') == 4
 
 
 async def test_report_that_came_late_ends_with_its_own_time(autojump_clock):
     known = loads.Loads()
     known.note_report('e1', b'5,0,8')
-    known.note_told('e2', 7, 1.0)
-    await trio.sleep(loads.REPORT_SECONDS - 0.5)
+    known.note_peer_report('e2', 7, 1.0)
+    await trio.sleep(loads.REPORT_LIFETIME_SECONDS - 0.5)
     assert [known.load(name) for name in ('e1', 'e2')] == [5, 0]
--- a/tests/test_coordination/test_forwarding_retry_after.py
+++ b/tests/test_coordination/test_forwarding_retry_after.py
@@ -77,7 +77,7 @@
         nursery.start_soon(router.ask)
         await trio.sleep(0.5)
         (placed,) = [n for n in ('e1', 'e2') if router.loads.load(n)]
-        router.health.note_unwanted(placed, 5.0)
+        router.health.note_paused(placed, 5.0)
     assert exchanges.names() == [{'e1': 'e2', 'e2': 'e1'}[placed]]
 
 
@@ -97,6 +97,6 @@
     exchanges = fakes.Exchanges(e1=[away('99999999'), fakes.reply()])
     router = router_of(exchanges, 'e1')
     await router.ask()
-    await trio.sleep(health.MAX_UNWANTED_SECONDS + 0.1)
+    await trio.sleep(health.MAX_PAUSE_SECONDS + 0.1)
     answer, _ = await router.ask()
     assert answer.status == 200
--- a/tests/test_coordination/test_forwarding_silence.py
+++ b/tests/test_coordination/test_forwarding_silence.py
@@ -1,4 +1,4 @@
-"""Upstreams that fall silent without closing anything."""
+"""Upstreams that stop sending bytes without closing their connections."""
 
 from __future__ import annotations
 
@@ -16,104 +16,107 @@
 
 
 @pytest.fixture
-def watch(nursery):
-    watch = silence.SilenceWatch(health.Health())
-    nursery.start_soon(watch.run)
-    return watch
+def detector(nursery):
+    detector = silence.SilenceDetector(health.Health())
+    nursery.start_soon(detector.run)
+    return detector
 
 
-def begin(watch, name='e1', limit=5.0, repeatable=True):
-    waiting = watch.begin(fakes.upstream(name), limit, lambda: repeatable)
-    watch.note_bytes(waiting)
-    return waiting
+def begin(detector, name='e1', limit=5.0, repeatable=True):
+    wait = detector.begin(fakes.upstream(name), limit, lambda: repeatable)
+    detector.note_bytes(wait)
+    return wait
 
 
-async def test_request_behind_a_dark_upstream_is_not_kept_waiting(
-    watch, autojump_clock
+async def test_request_to_a_silent_upstream_is_abandoned(
+    detector, autojump_clock
 ):
-    # An engine's VM loses power while it streams to one request and reads
-    # the prompt of another. Nothing is closed; the second would wait out its
-    # whole limit before another engine gets it.
-    stream = begin(watch)
-    stream.flowing = True
-    first = begin(watch)
+    # An engine's VM loses power while it streams to one request and processes
+    # the prompt of another. No connection is closed; the second request would
+    # wait until its limit before another engine gets it.
+    stream = begin(detector)
+    stream.streaming = True
+    first = begin(detector)
     await trio.sleep(0.3)
     assert not first.scope.cancel_called
     await trio.sleep(0.4)
     assert stream.scope.cancel_called
     assert first.scope.cancel_called
-    assert watch.health.is_suspected('e1')
+    assert detector.health.is_suspected('e1')
 
 
-async def test_caller_that_is_waited_for_is_no_silence(watch, autojump_clock):
-    # the router does not read the upstream while a write to the caller waits
-    waiting = begin(watch, limit=0.5)
-    waiting.flowing = True
-    waiting.reading = False
+async def test_wait_for_the_caller_is_no_silence(detector, autojump_clock):
+    # The router does not read the upstream while a write to the caller blocks.
+    wait = begin(detector, limit=0.5)
+    wait.streaming = True
+    wait.reading = False
     await trio.sleep(3.0)
-    assert not waiting.scope.cancel_called
-    assert not watch.health.is_suspected('e1')
+    assert not wait.scope.cancel_called
+    assert not detector.health.is_suspected('e1')
 
 
-async def test_slow_first_token_is_no_silence(watch, autojump_clock):
-    # The engine reads a long prompt; its other streams go on.
-    stream = begin(watch)
-    stream.flowing = True
-    first = begin(watch)
+async def test_slow_first_token_is_no_silence(detector, autojump_clock):
+    # The engine processes a long prompt; its other streams continue.
+    stream = begin(detector)
+    stream.streaming = True
+    first = begin(detector)
     for _ in range(30):
         await trio.sleep(0.1)
-        watch.note_bytes(stream)
+        detector.note_bytes(stream)
     assert not first.scope.cancel_called
-    assert not watch.health.is_suspected('e1')
+    assert not detector.health.is_suspected('e1')
 
 
-async def test_request_that_may_run_once_waits_on(watch, autojump_clock):
-    # its answer may still come; sent again it would run twice
-    waiting = begin(watch, limit=0.5, repeatable=False)
-    waiting.flowing = True
+async def test_wait_without_retry_is_not_abandoned(detector, autojump_clock):
+    # The answer may still arrive; a request sent again would run twice.
+    wait = begin(detector, limit=0.5, repeatable=False)
+    wait.streaming = True
     await trio.sleep(3.0)
-    assert not waiting.scope.cancel_called
+    assert not wait.scope.cancel_called
 
 
-async def test_router_that_stood_still_blames_nobody(
+async def test_suspended_router_suspects_no_upstream(
     nursery, autojump_clock, monkeypatch
 ):
-    # The router itself was frozen: bytes lie unread in its sockets, and all
+    # The router itself was suspended: bytes are unread in its sockets, and all
     # upstreams look silent for a moment.
-    watch = silence.SilenceWatch(health.Health())
-    waiting = begin(watch)
-    waiting.flowing = True
+    detector = silence.SilenceDetector(health.Health())
+    wait = begin(detector)
+    wait.streaming = True
     await trio.sleep(5.0)
-    watch.start_anew(trio.current_time())
-    watch.check(trio.current_time())
-    assert not waiting.scope.cancel_called
-    assert not watch.health.is_suspected('e1')
+    detector.restart_waits(trio.current_time())
+    detector.check(trio.current_time())
+    assert not wait.scope.cancel_called
+    assert not detector.health.is_suspected('e1')
 
 
-async def test_what_another_router_found_ends_waits_too(watch, autojump_clock):
-    told = []
-    watch.health.on_suspect = lambda instance, seconds: told.append(instance)
-    waiting = begin(watch)
+async def test_suspicion_of_another_router_ends_waits(detector, autojump_clock):
+    announced = []
+    detector.health.on_suspect = lambda instance, seconds: announced.append(
+        instance
+    )
+    wait = begin(detector)
     await trio.sleep(0.3)
-    watch.health.note_suspected('e1', 1.0)
+    detector.health.note_suspected('e1', 1.0)
     await trio.sleep(0.4)
-    assert waiting.scope.cancel_called
-    # told only by who found it: else routers would keep a rumour alive
-    assert told == []
+    assert wait.scope.cancel_called
+    # Only the router that detected the silence announces it: otherwise
+    # routers would renew each other's suspicions without end.
+    assert announced == []
 
 
 async def test_suspicion_ends_with_the_next_success(autojump_clock):
-    known = health.Health()
-    told = []
-    known.on_suspect = lambda instance, seconds: told.append(instance)
-    known.note_unreachable('e1')
-    known.note_unreachable('e1')
-    assert told == ['e1']
-    known.note_success('e1')
-    assert not known.is_suspected('e1')
+    subject = health.Health()
+    announced = []
+    subject.on_suspect = lambda instance, seconds: announced.append(instance)
+    subject.note_unreachable('e1')
+    subject.note_unreachable('e1')
+    assert announced == ['e1']
+    subject.note_success('e1')
+    assert not subject.is_suspected('e1')
 
 
-async def test_dark_upstream_costs_a_stream_little_time(autojump_clock):
+async def test_silent_upstream_delays_a_stream_briefly(autojump_clock):
     first = fakes.reply(body=(event(1), 30.0))
     exchanges = fakes.Exchanges(e1=(), e2=())
     shared = [first, fakes.reply(body=(event(2),))]
@@ -129,9 +132,9 @@
     assert trio.current_time() - began < 0.8
 
 
-async def test_stream_that_nobody_can_go_on_with_is_waited_for(autojump_clock):
-    # The engine numbers no event and pauses. Given up, the stream would end
-    # there: no other engine can be told where to go on.
+async def test_stream_without_event_ids_is_not_abandoned(autojump_clock):
+    # The engine sends no event ids and pauses. An abandoned stream would end
+    # there: no other engine can be asked to resume it.
     exchanges = fakes.Exchanges(e1=(), e2=())
     steps = [fakes.reply(body=(b'data: a\n\n', 2.0, b'data: b\n\n'))]
     exchanges.steps = {'e1': steps, 'e2': steps}
@@ -143,10 +146,10 @@
 
 
 class SocketAnswer(fakes.Answer):
-    """Writes as a socket does: the caller has nothing before the write ends.
+    """Writes like a socket: the caller has no bytes before the write ends.
 
     Attributes:
-        seconds: How long a write takes; a slow caller's takes long.
+        seconds: Duration of a write; long for a slow caller.
     """
 
     seconds = 0.0
@@ -167,7 +170,7 @@
 
 
 class BytesAtTheLimit(fakes.Exchange):
-    """Bytes that arrive in the very turn in which the wait is given up."""
+    """Bytes that arrive in the turn in which the wait is abandoned."""
 
     router = None
     late_part = 0
@@ -189,18 +192,17 @@
 
 class LateExchanges(fakes.Exchanges):
     async def open(self, one, repeatable):
-        found = await super().open(one, repeatable)
-        return BytesAtTheLimit(self, found.instance, found.step)
+        exchange = await super().open(one, repeatable)
+        return BytesAtTheLimit(self, exchange.instance, exchange.step)
 
 
 @pytest.mark.parametrize('late_part', [0, 1, 2])
-async def test_wait_given_up_as_bytes_arrive_loses_no_byte(
+async def test_wait_abandoned_as_bytes_arrive_loses_no_byte(
     late_part, autojump_clock, monkeypatch
 ):
-    # A caller got a bad status line, or a stream with an event missing. The
-    # first event came in the turn in which its wait was given up: the read
-    # returned it, and the write of the head to the caller was cancelled in
-    # its place. The next engine's events followed without a head.
+    # A caller got a bad status line, or a stream without one event. The event
+    # arrived in the turn in which its wait was abandoned: the read returned
+    # it, and the write to the caller was cancelled instead.
     exchanges = LateExchanges(e1=(), e2=())
     parts = (event(1), event(2), event(3))
     steps = [fakes.reply(body=parts), fakes.reply(body=(event(2), event(3)))]
@@ -215,12 +217,10 @@
     assert answer.finished
 
 
-async def test_slow_caller_is_not_its_upstreams_silence(
-    nursery, autojump_clock
-):
-    # The caller takes each part of its answer only after seconds. The
-    # upstream is not read meanwhile; it was blamed for the silence, and the
-    # write was cut off half done.
+async def test_slow_caller_makes_no_upstream_suspected(nursery, autojump_clock):
+    # The caller accepts each part of its answer only after seconds. The
+    # upstream is not read meanwhile; it was suspected of silence, and the
+    # write was cancelled halfway.
     exchanges = fakes.Exchanges(e1=(), e2=())
     steps = [fakes.reply(body=(event(1), event(2)))]
     exchanges.steps = {'e1': steps, 'e2': steps}
@@ -234,10 +234,10 @@
     assert not any(map(router.health.is_suspected, ('e1', 'e2')))
 
 
-async def test_failure_answered_to_a_resume_is_no_second_head(autojump_clock):
-    # A stream has begun when its engine dies. The engine that is to go on
-    # answers 500, and so does the third: its answer was kept to be passed on
-    # whole, in the midst of the stream.
+async def test_error_reply_to_a_resume_is_no_second_head(autojump_clock):
+    # A stream has begun when its engine dies. The engine that is to resume it
+    # answers 500, and so does the third: its answer was kept and sent whole
+    # in the middle of the stream.
     exchanges = fakes.Exchanges(e1=(), e2=(), e3=())
     shared = [
         fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER),
@@ -245,9 +245,9 @@
     ]
     exchanges.steps = {'e1': shared, 'e2': shared, 'e3': shared}
     rules = (fakes.rule(streaming=True, resumable=True, attempts=3),)
-    found = [fakes.upstream(name) for name in ('e1', 'e2', 'e3')]
+    upstreams = [fakes.upstream(name) for name in ('e1', 'e2', 'e3')]
     router = fakes.Router(
-        fakes.snapshot(1, fakes.table(1, rules), *found), exchanges
+        fakes.snapshot(1, fakes.table(1, rules), *upstreams), exchanges
     )
     answer, error = await router.ask()
     assert answer.heads == 1
@@ -256,9 +256,9 @@
     assert isinstance(error, errors.OutcomeUnknown)
 
 
-async def test_events_that_contradict_move_no_resume_ahead(autojump_clock):
+async def test_contradicting_events_do_not_advance_a_resume(autojump_clock):
     # A garbled stream jumps from event 2 to event 9 within one read. Event 2
-    # is not passed on; a resume behind it would leave it out.
+    # is not passed on; a resume after it would omit it.
     exchanges = fakes.Exchanges(e1=(), e2=())
     shared = [
         fakes.reply(body=(event(1), event(2) + event(9))),
--- a/tests/test_transport/test_answer_path_fuzz.py
+++ b/tests/test_transport/test_answer_path_fuzz.py
@@ -256,7 +256,7 @@
     monkeypatch.setattr(attempts, 'MIN_FIRST_BYTE_SECONDS', 0.05)
     monkeypatch.setattr(attempts, 'MIN_SILENT_SECONDS', 0.05)
     monkeypatch.setattr(silence, 'CHECK_SECONDS', 0.005)
-    monkeypatch.setattr(silence, 'DARK_SECONDS', 0.04)
+    monkeypatch.setattr(silence, 'SILENT_SECONDS', 0.04)
     rng = random.Random(seed)
     found = []
     for name in ('e1', 'e2', 'e3'):
@@ -281,7 +281,7 @@
     content = fakes.snapshot(1, fakes.table(1, rules), *found)
     exchanges = upstream_exchanges.UpstreamExchanges()
     router = fakes.Router(content, exchanges)
-    router.budget.settings = budget.RepeatSettings(10.0, 1000.0, 10.0)
+    router.budget.settings = budget.RetryBudgetSettings(10.0, 1000.0, 10.0)
     nursery.start_soon(router.silence.run)
     server = caller_server.CallerServer(
         router.forwarder.forward, lambda: LIMITS, 100
