--- a/lavenderbend/coordination/forwarding/health.py
+++ b/lavenderbend/coordination/forwarding/health.py
@@ -18,7 +18,8 @@
 # Half-life of the failure and success counts.
 HALF_LIFE_SECONDS = 3.0
 # Decayed number of failures from which an upstream may be avoided. One that
-# fails four in ten of its requests passes it within three.
+# fails four in ten of its requests, at two a second, passes it within three
+# seconds.
 MIN_FAILURES_TO_AVOID = 1.6
 # An upstream is avoided if its failure fraction exceeds that of the service's
 # other upstreams by at least this.
--- a/lavenderbend/coordination/forwarding/silence.py
+++ b/lavenderbend/coordination/forwarding/silence.py
@@ -96,7 +96,7 @@
     them is considered dead at once; `health` notifies the other routers.
 
     Attributes:
-        health: Told which upstreams are silent.
+        health: Records which upstreams are silent.
         waits: The requests that wait.
         last_bytes_at: Router clock of the last bytes of each upstream.
     """
