--- a/bench/choice/__main__.py
+++ b/bench/choice/__main__.py
@@ -55,7 +55,9 @@
     rng = random.Random(1)
     chooser = chooser_of(size, rng)
     chats = [
-        choice.Need(choice.parse_parts(f'sys:2500,chat-{n}:6000,own:500'))
+        choice.RequestPrompt(
+            choice.parse_parts(f'sys:2500,chat-{n}:6000,own:500')
+        )
         for n in range(CHOICES)
     ]
     best = float('inf')
--- a/bench/fleet/prompts.py
+++ b/bench/fleet/prompts.py
@@ -13,7 +13,7 @@
 from lavenderbend.coordination.forwarding import cached_prompts
 from lavenderbend.coordination.forwarding import choice
 from lavenderbend.coordination.forwarding import directory
-from lavenderbend.coordination.forwarding import placing
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.coordination.forwarding import tickets
 
 if TYPE_CHECKING:
@@ -87,7 +87,7 @@
         '',
         1,
         trio.current_time() + DEADLINE_SECONDS,
-        choice.Need(parts),
+        choice.RequestPrompt(parts),
     )
 
 
@@ -100,7 +100,7 @@
 
     def __init__(self, router: world.Router, by_owners: bool) -> None:
         found = directory.Directory(router.snapshots)
-        found.take(router.snapshots.current)
+        found.apply_snapshot(router.snapshots.current)
         self.router = router
         self.chooser = choice.Chooser(
             router.zone, found, router.health, router.loads, LOAD_FACTOR
@@ -111,7 +111,7 @@
             router.peers.prompts,
             router.peers.loads.instances,
         )
-        self.placing = placing.Placing(
+        self.placing = reserving_chooser.ReservingChooser(
             self.chooser,
             router.peers.reservations,
             router.peers.loads.instances,
--- a/bench/relay/forwarding.py
+++ b/bench/relay/forwarding.py
@@ -23,8 +23,8 @@
 from lavenderbend.coordination.forwarding import interfaces
 from lavenderbend.coordination.forwarding import loads
 from lavenderbend.coordination.forwarding import outgoing
-from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import prompt_holders
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
 from lavenderbend.observe import logs
@@ -114,7 +114,7 @@
     found = facts.Facts('bench', lambda fact: None)
     return forwarder.Forwarder(
         entry.Entry(followed, HEADERS, router.LONG_SECONDS),
-        placing.Placing(
+        reserving_chooser.ReservingChooser(
             choice.Chooser(ZONE, known, well, load, 2.0),
             None,
             {},
--- a/lavenderbend/coordination/forwarding/attempts.py
+++ b/lavenderbend/coordination/forwarding/attempts.py
@@ -226,7 +226,7 @@
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
         """Notes that a request did not run to a good end."""
-        others = self.directory.candidates(ticket.service).places.names
+        others = self.directory.candidates(ticket.service).rendezvous.names
         self.health.note_failure(upstream.instance, others)
 
     def note_success(
@@ -281,7 +281,7 @@
             UpstreamRefused: Always.
         """
         if head.status == MISDIRECTED:
-            self.directory.misplaced.add(upstream.instance)
+            self.directory.replaced.add(upstream.instance)
             raise errors.UpstreamReplaced('another process is at its address')
         self.health.note_full(upstream.instance)
         try:
--- a/lavenderbend/coordination/forwarding/cached_prompts.py
+++ b/lavenderbend/coordination/forwarding/cached_prompts.py
@@ -1,4 +1,4 @@
-"""Which other upstream has the prompt cached that one is about to read."""
+"""Upstreams from which a cached prompt can be copied to another one."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from lavenderbend.coordination.forwarding import prompt_holders
     from lavenderbend.state import forwarding
 
-# chats whose last upstream this router remembers
-MAX_SENT = 20_000
+# Chats whose last upstream this router remembers.
+MAX_TRACKED_CHATS = 20_000
 
-# why an upstream may have a prompt
+# Reasons why an upstream may have a prompt cached.
 HOLDS_CHAT = 'holds the chat'
-SENT_THERE = 'sent there before'
-SERVED_THERE = 'served there by another router'
-FORMER_PLACE = 'its place before a change'
-FIRST_PLACE = 'its first place'
-FIRST_PART = 'holds the first part'
+SENT_BEFORE = 'sent there before'
+SERVED_BY_OTHER_ROUTER = 'served there by another router'
+PREFERRED_BEFORE_CHANGE = 'its place before a change'
+PREFERRED = 'its first place'
+HOLDS_SHARED_PREFIX = 'holds the first part'
 
 COPIES = metrics.counter(
     'lavenderbend_forward_prompt_copies_total',
@@ -40,71 +40,73 @@
 
 
 @attrs.frozen
-class Source:
+class CopySource:
     """An upstream from which a prompt may be copied.
 
     Attributes:
         upstream: The upstream.
-        why: Why it may have the prompt.
+        reason: Why it may have the prompt cached.
     """
 
     upstream: forwarding.Upstream
-    why: str
+    reason: str
 
 
 class CachedPrompts:
-    """Names an upstream from which cached prompt parts can be copied.
+    """Finds upstreams from which cached prompt parts can be copied.
 
-    A chat moves when upstreams come, leave or are full. Reading its prompt
-    anew takes a quarter of a second for 9,000 tokens; copying what its former
-    upstream has cached takes a fifth of that. Which upstream that was follows
-    from the order of rendezvous over the upstreams there were, so that a
-    router need not have seen the chat before.
+    A chat moves when upstreams come, go or are full. Processing its prompt
+    again takes a quarter of a second for 9,000 tokens; copying what its former
+    upstream has cached takes a fifth of that. The former upstream follows from
+    the rendezvous order over the earlier set of upstreams, so a router need
+    not have seen the chat before.
 
     Attributes:
-        holders: Knows who holds prompts that places do not tell of.
-        instances: Upstreams by short id.
-        first_at: Router clock of the first request of each service.
-        sent: Which upstream took each chat from this router last, the latest
-            last.
+        holders: Holders of prompts that the rendezvous order does not tell.
+        instances: Instances of upstreams by short id.
+        first_request_at: Router clock of the first request of each service.
+        last_upstreams: The upstream that last accepted a request of each chat
+            from this router, the most recent chat last.
     """
 
     def __init__(
         self,
-        found: directory.Directory,
+        upstreams: directory.Directory,
         health: health_module.Health,
         holders: prompt_holders.PromptHolders,
         instances: Mapping[int, str],
     ) -> None:
-        self.directory = found
+        self.directory = upstreams
         self.health = health
         self.holders = holders
         self.instances = instances
-        self.first_at: dict[str, float] = {}
-        self.sent: collections.OrderedDict[str, str] = collections.OrderedDict()
+        self.first_request_at: dict[str, float] = {}
+        self.last_upstreams: collections.OrderedDict[str, str] = (
+            collections.OrderedDict()
+        )
 
     def note_sent(
         self,
         key: str,
         parts: Sequence[choice.PromptPart],
         instance: str,
-        elsewhere: bool = False,
+        displaced: bool = False,
     ) -> None:
-        """Notes that a chat is now at an upstream, which took it.
+        """Records that an upstream accepted a request of a chat.
 
         Args:
-            key: What places the chat.
+            key: Affinity key of the chat.
             parts: Parts of its prompt.
             instance: The upstream.
-            elsewhere: Whether that is not its place.
+            displaced: Whether it is another than the chat's preferred one.
         """
-        self.holders.note_first_part(parts, instance)
-        if elsewhere:
+        self.holders.note_shared_prefix(parts, instance)
+        if displaced:
             self.holders.note_chat(key, instance)
-        self.sent[key] = instance
-        self.sent.move_to_end(key)
-        if len(self.sent) > MAX_SENT:
-            self.sent.popitem(last=False)
+        self.last_upstreams[key] = instance
+        self.last_upstreams.move_to_end(key)
+        if len(self.last_upstreams) > MAX_TRACKED_CHATS:
+            self.last_upstreams.popitem(last=False)
 
     def source(
         self,
@@ -112,76 +114,78 @@
         key: str,
         parts: Sequence[choice.PromptPart],
         chosen: forwarding.Upstream,
-        known: Collection[str] = (),
-    ) -> Source | None:
+        holders: Collection[str] = (),
+    ) -> CopySource | None:
         """Returns an upstream that may have more of a prompt than the chosen.
 
         Args:
             service: The service.
-            key: What places the chat.
+            key: Affinity key of the chat.
             parts: Parts of its prompt.
-            chosen: Where it goes.
-            known: Upstreams that hold the chat, as the owner of its place
-                knows.
+            chosen: The upstream that the request is sent to.
+            holders: Upstreams that hold the chat, by the answer of the owner
+                of its preferred upstream.
 
         Returns:
-            The upstream, None if the chosen one has it all, or nobody has.
+            The copy source, None if the chosen upstream has the whole prompt
+            or no other one has any of it.
         """
-        self.first_at.setdefault(service, trio.current_time())
-        before = self.sent.get(key)
-        if before == chosen.instance or chosen.instance in known:
+        self.first_request_at.setdefault(service, trio.current_time())
+        last = self.last_upstreams.get(key)
+        if last == chosen.instance or chosen.instance in holders:
             return None
-        for name in known:
+        for name in holders:
             upstream = self.usable(name, chosen)
             if upstream is not None:
                 COPIES.inc({'why': HOLDS_CHAT})
-                return Source(upstream, HOLDS_CHAT)
-        for name, why in self.likely(service, key, chosen):
+                return CopySource(upstream, HOLDS_CHAT)
+        for name, reason in self.likely_holders(service, key, chosen):
             upstream = self.usable(name, chosen)
             if upstream is not None:
-                COPIES.inc({'why': why})
-                return Source(upstream, why)
-        return self.first_part_source(parts, chosen)
+                COPIES.inc({'why': reason})
+                return CopySource(upstream, reason)
+        return self.shared_prefix_source(parts, chosen)
 
-    def first_part_source(
+    def shared_prefix_source(
         self,
         parts: Sequence[choice.PromptPart],
         chosen: forwarding.Upstream,
-    ) -> Source | None:
-        """Returns an upstream that holds what many chats begin with."""
+    ) -> CopySource | None:
+        """Returns an upstream that holds the prefix shared by many chats."""
 
         def usable(short: int) -> bool:
             return self.usable(self.instances.get(short), chosen) is not None
 
-        short = self.holders.of_first_part(parts, usable)
+        short = self.holders.shared_prefix_holder(parts, usable)
         if short is None:
             return None
-        COPIES.inc({'why': FIRST_PART})
-        upstream = self.directory.known(self.instances[short])
-        return Source(upstream, FIRST_PART)
+        COPIES.inc({'why': HOLDS_SHARED_PREFIX})
+        upstream = self.directory.find(self.instances[short])
+        return CopySource(upstream, HOLDS_SHARED_PREFIX)
 
-    def likely(
+    def likely_holders(
         self, service: str, key: str, chosen: forwarding.Upstream
     ) -> Iterator[tuple[str | None, str]]:
-        """Yields upstreams that may have a prompt and why, likely ones first.
+        """Yields upstreams that may have a prompt, with why, likeliest first.
 
         Args:
             service: The service.
-            key: What places the chat.
-            chosen: Where it goes.
+            key: Affinity key of the chat.
+            chosen: The upstream that the request is sent to.
         """
-        yield self.sent.get(key), SENT_THERE
-        for short in self.holders.of_chat(key):
-            yield self.instances.get(short), SERVED_THERE
-        first_place = self.directory.candidates(service).places.first(key)
-        if first_place != chosen.instance:
-            # its place is full or fails: the chat has hardly been anywhere
-            # else. Sets of upstreams that there were before, such as those
-            # of the start of all, would name one that never had it.
-            yield first_place, FIRST_PLACE
-        since = self.first_at[service]
-        for places in self.directory.former(service, since):
-            yield places.first(key), FORMER_PLACE
+        yield self.last_upstreams.get(key), SENT_BEFORE
+        for short in self.holders.chat_holders(key):
+            yield self.instances.get(short), SERVED_BY_OTHER_ROUTER
+        preferred = self.directory.candidates(service).rendezvous.first(key)
+        if preferred != chosen.instance:
+            # The preferred upstream is full or failing, and the chat has
+            # hardly been anywhere else. Earlier sets of upstreams, such as
+            # those seen while the whole fleet started, would name one that
+            # never had the chat.
+            yield preferred, PREFERRED
+        since = self.first_request_at[service]
+        for rendezvous in self.directory.former_upstreams(service, since):
+            yield rendezvous.first(key), PREFERRED_BEFORE_CHANGE
 
     def usable(
         self, name: str | None, chosen: forwarding.Upstream
@@ -189,8 +193,8 @@
         """Returns the upstream of a name if it can be copied from."""
         if name is None or name == chosen.instance:
             return None
-        # one that fails requests, or is full, still hands out what it has
-        # cached; of one that is dead the copy would only be waited for
+        # An upstream that fails requests or is full still serves copies of
+        # what it has cached. A copy from a dead one would only add a wait.
         if self.health.is_suspected(name):
             return None
-        return self.directory.known(name)
+        return self.directory.find(name)
--- a/lavenderbend/coordination/forwarding/choice.py
+++ b/lavenderbend/coordination/forwarding/choice.py
@@ -1,4 +1,4 @@
-"""Which upstream of a service a request is sent to."""
+"""Selection of the upstream of a service that a request is sent to."""
 
 from __future__ import annotations
 
@@ -21,29 +21,31 @@
     from lavenderbend.coordination.forwarding import loads as loads_module
     from lavenderbend.state import forwarding
 
-# what other routers send before their next message is not seen: the bound
-# here stays under the one that must hold by a part of what is above the mean
-BOUND_PART = 0.8
-# beside the multiple of the mean: one more request is felt by nobody where the
-# mean is one or two, and a chat that has to move is read anew
-ALWAYS_MORE = 2
-# requests that any upstream may hold whatever the mean
-ALWAYS_ALLOWED = 3
-
-# of its slots; a service answers slower as it fills, and a request between
-# zones takes under two milliseconds more
-BUSY_PART = 0.5
+# Share of the load factor's excess over 1.0 that this router uses. It does not
+# see what other routers send before their next message, so its own bound has
+# to stay below the one that the fleet must keep.
+LOCAL_BOUND_FRACTION = 0.8
+# Requests allowed beyond the multiple of the mean. At a mean of one or two,
+# one more request has no noticeable effect, while a chat that has to move gets
+# its prompt processed again.
+EXTRA_REQUESTS = 2
+# Lower limit of the bound on requests at one upstream, whatever the mean.
+MIN_BOUND_REQUESTS = 3
+
+# Share of its slots from which an upstream counts as busy. Services answer more
+# slowly as they fill, and a request between zones takes less than 2 ms longer.
+BUSY_FRACTION = 0.5
 
 PROMPT_CACHED = 'prompt cached'
 LEAST_LOADED = 'least loaded'
-OVER_BOUND = 'all over bound'
-AVOIDED = 'all avoided'
-UNWANTED = 'none wants requests'
-# why an upstream is passed over
-OVER_ITS_BOUND = 'over bound'
-HAD_IT = 'had the request'
-FAILED_LATELY = 'failed lately'
-WANTS_NONE = 'wants none'
+ALL_OVER_BOUND = 'all over bound'
+ALL_AVOIDED = 'all avoided'
+ALL_PAUSED = 'none wants requests'
+# Reasons why an upstream is passed over.
+OVER_BOUND = 'over bound'
+ALREADY_TRIED = 'had the request'
+RECENT_FAILURES = 'failed lately'
+PAUSED = 'wants none'
 
 
 @attrs.frozen
@@ -51,7 +53,7 @@
     """A part of a prompt that other requests may share.
 
     Attributes:
-        id: The same for the same text.
+        id: Identifies the text: equal texts have equal ids.
         tokens: Its length.
     """
 
@@ -60,23 +62,23 @@
 
 
 def parse_parts(text: str | None) -> tuple[PromptPart, ...]:
-    """Returns the parts of `ID:TOKENS,ID:TOKENS`, none if it is no such."""
+    """Parses `ID:TOKENS,ID:TOKENS`; returns no parts if it is malformed."""
     if not text:
         return ()
     parts = []
-    for item in text.split(','):
-        name, _, tokens = item.strip().partition(':')
+    for field in text.split(','):
+        name, _, tokens = field.strip().partition(':')
         if not name or not tokens.isdigit():
             return ()
         parts.append(PromptPart(name, int(tokens)))
     return tuple(parts)
 
 
-def placing_key(parts: Sequence[PromptPart]) -> str:
-    """Returns what requests with the same cached prompt have in common.
+def affinity_key(parts: Sequence[PromptPart]) -> str:
+    """Returns the key that requests with the same cached prompt share.
 
-    The last of three parts and more is the request's own text; the chat is
-    the one before it, with all that comes earlier.
+    With three parts or more, the last one is the text of the request itself;
+    the part before it identifies the chat, including all earlier parts.
     """
     if len(parts) < 3:
         return parts[-1].id
@@ -84,33 +86,33 @@
 
 
 @attrs.frozen
-class Need:
-    """What a request asks of its upstream.
+class RequestPrompt:
+    """The prompt of a request, as far as it affects the choice of upstream.
 
     Attributes:
-        parts: Parts of its prompt, empty if it has none.
+        parts: Parts of the prompt, empty if the request has none.
     """
 
     parts: tuple[PromptPart, ...] = ()
 
     @property
     def chat(self) -> str:
-        """What requests of the chat share, empty without a prompt."""
-        return placing_key(self.parts) if self.parts else ''
+        """Affinity key of the request's chat, empty without a prompt."""
+        return affinity_key(self.parts) if self.parts else ''
 
 
 @attrs.frozen
 class Choice:
-    """What was decided.
+    """The upstream chosen for a request, and why.
 
     Attributes:
-        upstream: The upstream, None if the service has none.
-        reason: Why this one.
-        load: Requests that it holds, as far as known.
-        allowed: The bound on that.
-        passed_over: Upstreams that were not taken, and why.
-        wanted_in: Seconds until one of those that want no request does, 0 if
-            that is not why there is none.
+        upstream: The upstream, None if there is none to send to.
+        reason: Why this one was chosen, or why there is none.
+        load: Requests at the upstream, as far as this router knows.
+        allowed: The bound on that number.
+        passed_over: Upstreams that were not chosen, and why.
+        retry_after_seconds: Seconds until the first paused upstream accepts
+            requests again, 0 if pauses are not why there is no upstream.
     """
 
     upstream: forwarding.Upstream | None
@@ -118,77 +120,83 @@
     load: int = 0
     allowed: int = 0
     passed_over: tuple[decisions.PassedOver, ...] = ()
-    wanted_in: float = 0.0
+    retry_after_seconds: float = 0.0
 
 
 @attrs.frozen
-class Apart:
-    """Upstreams that a request does not go to while there are others.
+class Exclusions:
+    """Upstreams that a request is not sent to while there are others.
 
     Attributes:
-        used: Instances that have had it.
-        avoided: Instances that failed lately.
-        bound: Requests that the others may hold.
-        unwanting: Instances that want no request; it does not go there if
-            there are no others either.
+        used: Instances that the request was already sent to.
+        avoided: Instances that failed recently.
+        bound: Requests that each of the other upstreams may hold.
+        paused: Instances that asked for no requests. The request is not sent
+            there even if there are no others.
     """
 
     used: Set[str]
     avoided: Set[str]
     bound: int
-    unwanting: Set[str] = frozenset()
+    paused: Set[str] = frozenset()
 
     @property
     def names(self) -> set[str]:
-        """All of them."""
-        return {*self.used, *self.avoided, *self.unwanting}
+        """All excluded instances."""
+        return {*self.used, *self.avoided, *self.paused}
 
     def reason(self, name: str) -> str:
-        """Returns why an upstream is passed over, empty if it is not."""
-        if name in self.unwanting:
-            return WANTS_NONE
+        """Returns why an upstream is excluded, empty if it is not."""
+        if name in self.paused:
+            return PAUSED
         if name in self.used:
-            return HAD_IT
-        return FAILED_LATELY if name in self.avoided else ''
+            return ALREADY_TRIED
+        return RECENT_FAILURES if name in self.avoided else ''
 
 
-class Usable:
-    """Upstreams that a request may go to, in the order of its chat.
+class UsableUpstreams:
+    """Upstreams that a request may be sent to, in its chat's preference order.
 
     Attributes:
-        found: Those of the service.
-        apart: Those that it does not go to.
-        order: The others; as far as it was asked for.
+        candidates: The upstreams of the service.
+        exclusions: Those of them that the request is not sent to.
+        remaining: Instances in preference order that were not examined yet.
+        order: The usable instances found so far, in preference order.
     """
 
     def __init__(
-        self, found: directory.Candidates, apart: Apart, chat: str
+        self,
+        candidates: directory.Candidates,
+        exclusions: Exclusions,
+        chat: str,
     ) -> None:
-        self.found = found
-        self.apart = apart
-        self.rest = found.places.order(chat)
+        self.candidates = candidates
+        self.exclusions = exclusions
+        self.remaining = candidates.rendezvous.order(chat)
         self.order: list[str] = []
 
     def has(self, name: str) -> bool:
-        """Returns whether an upstream is one of them."""
-        return name in self.found.by_name and not self.apart.reason(name)
+        """Returns whether an upstream is usable."""
+        return name in self.candidates.by_name and not self.exclusions.reason(
+            name
+        )
 
-    def next(self, passed: Collection[str]) -> forwarding.Upstream | None:
-        """Returns the first one that is not passed by, None if none is."""
+    def next(self, skipped: Collection[str]) -> forwarding.Upstream | None:
+        """Returns the most preferred upstream that is not skipped, if any."""
         for name in self.order:
-            if name not in passed:
-                return self.found.by_name[name]
-        for name in self.rest:
-            if self.apart.reason(name):
+            if name not in skipped:
+                return self.candidates.by_name[name]
+        for name in self.remaining:
+            if self.exclusions.reason(name):
                 continue
             self.order.append(name)
-            if name not in passed:
-                return self.found.by_name[name]
+            if name not in skipped:
+                return self.candidates.by_name[name]
         return None
 
 
 class Chooser:
-    """Chooses upstreams.
+    """Chooses upstreams by what this router knows.
 
     Attributes:
         availability_zone: This router's zone.
@@ -198,13 +206,13 @@
     def __init__(
         self,
         availability_zone: str,
-        found: directory.Directory,
+        upstreams: directory.Directory,
         health: health_module.Health,
         loads: loads_module.Loads,
         load_factor: float,
     ) -> None:
         self.availability_zone = availability_zone
-        self.directory = found
+        self.directory = upstreams
         self.health = health
         self.loads = loads
         self.load_factor = load_factor
@@ -212,134 +220,159 @@
     def choose(
         self,
         service: str,
-        need: Need,
+        prompt: RequestPrompt,
         used: Collection[str],
         tie_break: str,
     ) -> Choice:
-        """Returns where a request goes.
+        """Chooses the upstream that a request is sent to.
 
         Args:
             service: The service.
-            need: What it asks of its upstream.
-            used: Instances that have had it already.
-            tie_break: Decides between equal upstreams.
+            prompt: The request's prompt.
+            used: Instances that the request was already sent to.
+            tie_break: Decides between equally ranked upstreams.
         """
-        found = self.directory.candidates(service)
-        if not found.by_name:
+        candidates = self.directory.candidates(service)
+        if not candidates.by_name:
             return Choice(None)
-        known = found.by_name.keys()
-        apart = self.apart(found, used)
-        if len(apart.unwanting) == len(known):
-            return self.none_wanted(known)
-        if len(apart.names) == len(known):
-            names = known - apart.used - apart.unwanting
-            return self.least_loaded(found, names, tie_break, apart, AVOIDED)
-        if need.parts:
-            return self.by_prompt(found, need.chat, apart)
-        names = known - apart.names
-        return self.least_loaded(found, names, tie_break, apart, LEAST_LOADED)
-
-    def usable(self, service: str, need: Need, used: Collection[str]) -> Usable:
-        """Returns the upstreams that a request may go to."""
-        found = self.directory.candidates(service)
-        return Usable(found, self.apart(found, used), need.chat)
-
-    def apart(
-        self, found: directory.Candidates, used: Collection[str]
-    ) -> Apart:
-        """Returns the upstreams that a request does not go to."""
-        known = found.by_name.keys()
-        unwanting = known & self.health.wanting_none().keys()
-        had = known & set(used)
-        if len(had | unwanting) == len(known):
-            # all have had it: one of them has it again
-            had = frozenset()
-        avoided = known & self.health.held_back()
-        bound = self.allowed(found.places.sample)
-        return Apart(had, avoided, bound, unwanting)
-
-    def any_wants(self, service: str) -> bool:
-        """Returns whether an upstream of a service takes requests now."""
-        known = self.directory.candidates(service).by_name.keys()
-        return bool(known - self.health.wanting_none().keys())
-
-    def none_wanted(self, known: Collection[str]) -> Choice:
-        """Returns that none of some upstreams wants a request now."""
-        wanting = self.health.wanting_none()
-        soonest = min(wanting[name] for name in known)
-        passed = [decisions.PassedOver(name, WANTS_NONE) for name in known]
+        instances = candidates.by_name.keys()
+        exclusions = self.exclusions(candidates, used)
+        if len(exclusions.paused) == len(instances):
+            return self.all_paused(instances)
+        if len(exclusions.names) == len(instances):
+            names = instances - exclusions.used - exclusions.paused
+            return self.least_loaded(
+                candidates, names, tie_break, exclusions, ALL_AVOIDED
+            )
+        if prompt.parts:
+            return self.by_prompt(candidates, prompt.chat, exclusions)
+        names = instances - exclusions.names
+        return self.least_loaded(
+            candidates, names, tie_break, exclusions, LEAST_LOADED
+        )
+
+    def usable(
+        self, service: str, prompt: RequestPrompt, used: Collection[str]
+    ) -> UsableUpstreams:
+        """Returns the upstreams that a request may be sent to."""
+        candidates = self.directory.candidates(service)
+        return UsableUpstreams(
+            candidates, self.exclusions(candidates, used), prompt.chat
+        )
+
+    def exclusions(
+        self, candidates: directory.Candidates, used: Collection[str]
+    ) -> Exclusions:
+        """Returns the upstreams that a request is not sent to."""
+        instances = candidates.by_name.keys()
+        paused = instances & self.health.wanting_none().keys()
+        tried = instances & set(used)
+        if len(tried | paused) == len(instances):
+            # The request was sent to every upstream that accepts requests:
+            # one of them gets it again.
+            tried = frozenset()
+        avoided = instances & self.health.held_back()
+        bound = self.load_bound(candidates.rendezvous.sample)
+        return Exclusions(tried, avoided, bound, paused)
+
+    def any_accepts(self, service: str) -> bool:
+        """Returns whether any upstream of a service accepts requests now."""
+        instances = self.directory.candidates(service).by_name.keys()
+        return bool(instances - self.health.wanting_none().keys())
+
+    def all_paused(self, instances: Collection[str]) -> Choice:
+        """Returns the choice if each of some upstreams asked for a pause."""
+        paused_until = self.health.wanting_none()
+        soonest = min(paused_until[name] for name in instances)
+        passed_over = [decisions.PassedOver(name, PAUSED) for name in instances]
         return Choice(
             None,
-            UNWANTED,
-            passed_over=tuple(passed),
-            wanted_in=soonest - trio.current_time(),
+            ALL_PAUSED,
+            passed_over=tuple(passed_over),
+            retry_after_seconds=soonest - trio.current_time(),
         )
 
-    def allowed(self, sample: Collection[str]) -> int:
+    def load_bound(self, sample: Collection[str]) -> int:
         """Returns the bound on requests at one upstream.
 
         Args:
-            sample: Upstreams of the service, all if they are not many.
+            sample: Upstreams of the service that the mean load is taken from;
+                all of them if they are few.
         """
         total = self.loads.total(sample) + 1
         mean = total / len(sample)
-        factor = 1.0 + BOUND_PART * (self.load_factor - 1.0)
-        bound = math.ceil(mean * factor) + ALWAYS_MORE
-        return max(ALWAYS_ALLOWED, bound)
+        factor = 1.0 + LOCAL_BOUND_FRACTION * (self.load_factor - 1.0)
+        bound = math.ceil(mean * factor) + EXTRA_REQUESTS
+        return max(MIN_BOUND_REQUESTS, bound)
 
     def by_prompt(
-        self, found: directory.Candidates, key: str, apart: Apart
+        self, candidates: directory.Candidates, key: str, exclusions: Exclusions
     ) -> Choice:
-        """Returns the first upstream of the key's order that has room.
+        """Returns the key's most preferred upstream below the load bound.
 
-        The order is the same in all zones. Read and cached in each of four
-        zones, half of all prompt tokens were parts read again; with one
-        place for each chat it is 6 in 100, while the bytes between zones
-        that this saved earned nothing on any of three customers.
+        The preference order is the same in all zones. With a separate
+        preferred upstream in each of four zones, half of all prompt tokens
+        were processed repeatedly; with one preferred upstream for each chat
+        it is 6 in 100. The traffic between zones that separate upstreams
+        saved brought no gain for any of three customers.
         """
-        passed: list[decisions.PassedOver] = []
-        for name in found.places.order(key):
-            reason = apart.reason(name)
+        passed_over: list[decisions.PassedOver] = []
+        for name in candidates.rendezvous.order(key):
+            reason = exclusions.reason(name)
             load = self.loads.load(name)
-            if not reason and load < apart.bound:
-                upstream = found.by_name[name]
+            if not reason and load < exclusions.bound:
+                upstream = candidates.by_name[name]
                 return Choice(
-                    upstream, PROMPT_CACHED, load, apart.bound, tuple(passed)
+                    upstream,
+                    PROMPT_CACHED,
+                    load,
+                    exclusions.bound,
+                    tuple(passed_over),
                 )
-            reason = reason or OVER_ITS_BOUND
-            passed.append(decisions.PassedOver(name, reason))
-        names = found.by_name.keys() - apart.names
-        return self.least_loaded(found, names, key, apart, OVER_BOUND)
+            reason = reason or OVER_BOUND
+            passed_over.append(decisions.PassedOver(name, reason))
+        names = candidates.by_name.keys() - exclusions.names
+        return self.least_loaded(
+            candidates, names, key, exclusions, ALL_OVER_BOUND
+        )
 
-    def far(self, upstream: forwarding.Upstream) -> bool:
-        """Returns whether the upstream stands in another zone."""
+    def in_other_zone(self, upstream: forwarding.Upstream) -> bool:
+        """Returns whether an upstream is in another zone than this router."""
         return upstream.vm.availability_zone != self.availability_zone
 
     def least_loaded(
         self,
-        found: directory.Candidates,
+        candidates: directory.Candidates,
         names: Collection[str],
         tie_break: str,
-        apart: Apart,
+        exclusions: Exclusions,
         reason: str,
     ) -> Choice:
-        """Returns the least loaded; the own zone first while it has slots."""
+        """Returns the least loaded upstream.
+
+        Upstreams that are not busy come first, and among upstreams with free
+        slots those of this router's zone.
+        """
 
-        def rank(one: forwarding.Upstream) -> tuple[bool, bool, float, int]:
-            load = self.loads.load(one.instance)
-            busy = load / max(1, one.slots)
-            far = self.far(one) and busy < 1.0
+        def rank(
+            candidate: forwarding.Upstream,
+        ) -> tuple[bool, bool, float, int]:
+            load = self.loads.load(candidate.instance)
+            utilization = load / max(1, candidate.slots)
+            remote = self.in_other_zone(candidate) and utilization < 1.0
             return (
-                busy >= BUSY_PART,
-                far,
-                busy,
-                hashing.hash64(tie_break, one.instance),
+                utilization >= BUSY_FRACTION,
+                remote,
+                utilization,
+                hashing.hash64(tie_break, candidate.instance),
             )
 
-        upstream = min((found.by_name[name] for name in names), key=rank)
-        passed = [
-            decisions.PassedOver(name, apart.reason(name))
-            for name in sorted(apart.names.difference(names))
+        upstream = min((candidates.by_name[name] for name in names), key=rank)
+        passed_over = [
+            decisions.PassedOver(name, exclusions.reason(name))
+            for name in sorted(exclusions.names.difference(names))
         ]
         load = self.loads.load(upstream.instance)
-        return Choice(upstream, reason, load, apart.bound, tuple(passed))
+        return Choice(
+            upstream, reason, load, exclusions.bound, tuple(passed_over)
+        )
--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -94,7 +94,7 @@
 
     def learn_word(self, fact: facts_module.Fact) -> None:
         """Sends nothing more to an upstream that says it leaves."""
-        if not self.directory.note_said(fact.subject):
+        if not self.directory.note_leaving_announced(fact.subject):
             return
         logs.change(
             'upstream_leaving',
@@ -106,7 +106,7 @@
     def learn(self, fact: facts_module.Fact) -> None:
         """Sends nothing more to an upstream that another router saw leave."""
         revision = revision_of(fact)
-        if not self.directory.note_left(fact.subject, revision):
+        if not self.directory.note_leaving_in_store(fact.subject, revision):
             return
         current = self.followed.current
         logs.change(
--- a/lavenderbend/coordination/forwarding/directory.py
+++ b/lavenderbend/coordination/forwarding/directory.py
@@ -1,4 +1,4 @@
-"""Which upstreams of a service may be sent requests now."""
+"""The upstreams of each service that may be sent requests now."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import trio
 
 from lavenderbend.coordination.forwarding import leaving
-from lavenderbend.coordination.forwarding import places as places_module
+from lavenderbend.coordination.forwarding import rendezvous as rendezvous_module
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -17,25 +17,25 @@
     from lavenderbend.coordination.forwarding import snapshots
     from lavenderbend.state import forwarding
 
-# chats that have not come back for so long are hardly cached any more
-FORMER_SECONDS = 30.0
-MAX_FORMER = 6
-# upstreams that leave within it are one change: each by itself would push out
-# the set that still names who holds a chat
+# Chats without a new request for this long are rarely cached any more.
+FORMER_UPSTREAMS_SECONDS = 30.0
+MAX_FORMER_SETS = 6
+# Upstreams that leave within this time count as one change. As one change each
+# they would displace the set that still tells who holds a chat.
 SAME_CHANGE_SECONDS = 2.0
 
 
 @attrs.frozen
-class Former:
+class FormerUpstreams:
     """The upstreams that a service had before a change.
 
     Attributes:
         until: Router clock of the change.
-        places: Those that were not leaving.
+        rendezvous: Those that were not leaving.
     """
 
     until: float
-    places: places_module.Places
+    rendezvous: rendezvous_module.RendezvousTree
 
 
 @attrs.frozen
@@ -43,79 +43,81 @@
     """The upstreams of a service that may be sent requests now.
 
     Attributes:
-        by_name: By instance.
-        places: In the order in which a chat prefers them.
+        by_name: Upstreams by instance.
+        rendezvous: Their preference order for each chat.
     """
 
     by_name: Mapping[str, forwarding.Upstream]
-    places: places_module.Places
+    rendezvous: rendezvous_module.RendezvousTree
 
 
-def candidates_of(found: Iterable[forwarding.Upstream]) -> Candidates:
-    """Returns upstreams, ordered for chats."""
-    by_name = {one.instance: one for one in found}
-    return Candidates(by_name, places_module.Places(by_name))
+def make_candidates(upstreams: Iterable[forwarding.Upstream]) -> Candidates:
+    """Returns upstreams with their preference order for each chat."""
+    by_name = {upstream.instance: upstream for upstream in upstreams}
+    return Candidates(by_name, rendezvous_module.RendezvousTree(by_name))
 
 
-NOBODY = candidates_of(())
+NO_CANDIDATES = make_candidates(())
 
 
 class Directory:
     """Upstreams by service, from the newest snapshot.
 
     Attributes:
-        by_service: Upstreams that are not leaving, from the snapshot.
+        by_service: Upstreams of the snapshot that are not leaving.
         changes: Upstreams before the latest changes of each service.
-        misplaced: Instances at whose address another one answered.
-        leaving: Knows who leaves beside what the snapshot shows.
+        replaced: Instances at whose address another instance answered.
+        leaving: Upstreams that are known to leave before the snapshot shows
+            it.
     """
 
     def __init__(self, followed: snapshots.Snapshots) -> None:
         self.followed = followed
-        self.misplaced: set[str] = set()
+        self.replaced: set[str] = set()
         self.leaving = leaving.Leaving()
         self.by_service: dict[str, Candidates] = {}
-        self.changes: dict[str, list[Former]] = {}
-        followed.on_change.append(self.take)
+        self.changes: dict[str, list[FormerUpstreams]] = {}
+        followed.on_change.append(self.apply_snapshot)
 
-    def take(self, snapshot: forwarding.Snapshot) -> None:
-        """Orders the upstreams of a snapshot by service."""
-        self.misplaced &= snapshot.upstreams.keys()
+    def apply_snapshot(self, snapshot: forwarding.Snapshot) -> None:
+        """Replaces the upstreams of all services by those of a snapshot."""
+        self.replaced &= snapshot.upstreams.keys()
         self.leaving.forget(snapshot, self.followed.kept)
         before = self.by_service
-        found: dict[str, list[forwarding.Upstream]] = {}
+        by_service: dict[str, list[forwarding.Upstream]] = {}
         for upstream in snapshot.upstreams.values():
             if self.leaving.stays(upstream):
-                found.setdefault(upstream.vm.service, []).append(upstream)
+                by_service.setdefault(upstream.vm.service, []).append(upstream)
         self.by_service = {
-            service: candidates_of(some) for service, some in found.items()
+            service: make_candidates(upstreams)
+            for service, upstreams in by_service.items()
         }
         for service, candidates in before.items():
-            self.note_change(service, candidates.places)
+            self.note_change(service, candidates.rendezvous)
 
-    def note_left(self, instance: str, revision: int) -> bool:
-        """Notes that an upstream leaves, as another router saw.
+    def note_leaving_in_store(self, instance: str, revision: int) -> bool:
+        """Records that another router saw in the store an upstream leave.
 
         Args:
             instance: The upstream.
             revision: Revision of the store that shows it.
 
         Returns:
-            Whether this router took it for one that stays.
+            Whether this router did not know it yet.
         """
         current = self.followed.current
         known = current is None or current.revision >= revision
         if known and instance not in self.followed.kept:
-            # the own snapshot shows as much, or is yet to be read
+            # This router's snapshot shows it already, or is not read yet.
             return False
         self.leaving.note_left(instance, revision)
         return self.drop(instance)
 
-    def note_said(self, instance: str) -> bool:
-        """Notes that an upstream says that it leaves.
+    def note_leaving_announced(self, instance: str) -> bool:
+        """Records that an upstream announces in its answers that it leaves.
 
         Returns:
-            Whether this router took it for one that stays.
+            Whether this router did not know it yet.
         """
         if instance in self.leaving.said:
             return False
@@ -123,51 +125,58 @@
         return self.drop(instance)
 
     def drop(self, instance: str) -> bool:
-        """Takes an upstream that leaves out; returns whether it was in."""
+        """Removes an upstream that leaves; returns whether it was present."""
         if instance in self.followed.kept:
             return True
         for service, before in self.by_service.items():
             upstream = before.by_name.get(instance)
             if upstream is not None and not self.leaving.stays(upstream):
-                self.by_service[service] = candidates_of(
-                    one
-                    for one in before.by_name.values()
-                    if one is not upstream
+                self.by_service[service] = make_candidates(
+                    candidate
+                    for candidate in before.by_name.values()
+                    if candidate is not upstream
                 )
-                self.note_change(service, before.places)
+                self.note_change(service, before.rendezvous)
                 return True
         return False
 
-    def note_change(self, service: str, before: places_module.Places) -> None:
-        """Remembers the upstreams that a service had before a change."""
-        if before.names == self.by_service.get(service, NOBODY).places.names:
+    def note_change(
+        self, service: str, before: rendezvous_module.RendezvousTree
+    ) -> None:
+        """Keeps the upstreams that a service had before a change."""
+        if (
+            before.names
+            == self.by_service.get(service, NO_CANDIDATES).rendezvous.names
+        ):
             return
         changes = self.changes.setdefault(service, [])
         now = trio.current_time()
         recent = changes and changes[-1].until > now - SAME_CHANGE_SECONDS
-        if recent and before.names < changes[-1].places.names:
+        if recent and before.names < changes[-1].rendezvous.names:
             return
-        changes.append(Former(now, before))
-        del changes[:-MAX_FORMER]
+        changes.append(FormerUpstreams(now, before))
+        del changes[:-MAX_FORMER_SETS]
 
-    def former(self, service: str, since: float) -> list[places_module.Places]:
-        """Returns the upstreams that a service had lately, latest first.
+    def former_upstreams(
+        self, service: str, since: float
+    ) -> list[rendezvous_module.RendezvousTree]:
+        """Returns the sets of upstreams before recent changes, latest first.
 
         Args:
             service: The service.
             since: Router clock of its first request. Upstreams that came one
-                after the other before it hold nothing yet.
+                after the other before it have nothing cached yet.
         """
-        oldest = max(trio.current_time() - FORMER_SECONDS, since)
+        oldest = max(trio.current_time() - FORMER_UPSTREAMS_SECONDS, since)
         return [
-            change.places
+            change.rendezvous
             for change in reversed(self.changes.get(service, []))
             if change.until >= oldest
         ]
 
-    def known(self, instance: str) -> forwarding.Upstream | None:
-        """Returns an upstream that is there, leaving or not."""
-        if self.followed.current is None or instance in self.misplaced:
+    def find(self, instance: str) -> forwarding.Upstream | None:
+        """Returns an upstream that is present, leaving or not."""
+        if self.followed.current is None or instance in self.replaced:
             return None
         return self.followed.current.upstreams.get(instance)
 
@@ -176,21 +185,21 @@
         return list(self.candidates(service).by_name.values())
 
     def candidates(self, service: str) -> Candidates:
-        """Returns the same, ordered for chats."""
-        candidates = self.by_service.get(service, NOBODY)
+        """Returns the upstreams of a service that may be sent requests."""
+        candidates = self.by_service.get(service, NO_CANDIDATES)
         lapsed = self.lapsed(service)
-        misplaced = self.misplaced & candidates.places.names
-        if not lapsed and not misplaced:
+        replaced = self.replaced & candidates.rendezvous.names
+        if not lapsed and not replaced:
             return candidates
-        found = [
-            one
-            for one in candidates.by_name.values()
-            if one.instance not in misplaced
+        upstreams = [
+            upstream
+            for upstream in candidates.by_name.values()
+            if upstream.instance not in replaced
         ]
-        return candidates_of([*found, *lapsed])
+        return make_candidates([*upstreams, *lapsed])
 
     def lapsed(self, service: str) -> list[forwarding.Upstream]:
-        """Returns upstreams whose entries may be back soon."""
+        """Returns upstreams whose expired entries may be renewed soon."""
         if not self.followed.kept:
             return []
         now = self.followed.clock()
--- a/lavenderbend/coordination/forwarding/entry.py
+++ b/lavenderbend/coordination/forwarding/entry.py
@@ -214,7 +214,7 @@
             customer='' if customer is None else customer.name,
             rank=rank,
             deadline=self.caller_deadline(request, then.timeout),
-            need=choice.Need(
+            need=choice.RequestPrompt(
                 choice.parse_parts(request.header(self.headers.prompt_parts))
             ),
             cutter=events.EventCutter(
--- a/lavenderbend/coordination/forwarding/explain.py
+++ b/lavenderbend/coordination/forwarding/explain.py
@@ -1,4 +1,4 @@
-"""What would happen to a request that is forwarded, sending nothing."""
+"""Explains the routing of a forwarded request without sending it."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 @attrs.frozen
-class Asked:
-    """The request in question.
+class ExplainRequest:
+    """The request to explain.
 
     Attributes:
         customer: Name of the customer, empty for none.
         method: HTTP method.
         path: Path, with the query if there is one.
-        headers: Names in lower case.
+        headers: Headers, with names in lower case.
         body_bytes: Size of its body.
     """
 
@@ -43,11 +43,11 @@
 
 
 class Explainer:
-    """Explains what this router would decide now.
+    """Explains what this router would decide for a request now.
 
     Attributes:
-        entry: Finds rule and customer.
-        chooser: Finds upstreams.
+        entry: Finds the rule and the customer.
+        chooser: Chooses the upstream.
     """
 
     def __init__(
@@ -58,31 +58,31 @@
         self.entry = entry
         self.chooser = chooser
 
-    def explain(self, asked: Asked) -> explanations.Explanation:
+    def explain(self, request: ExplainRequest) -> explanations.Explanation:
         """Returns what would be decided for a request."""
         table = self.entry.followed.table
         if table is None:
             return explanations.Explanation(0, (), verdict=NO_TABLE)
         self.entry.compile(table)
-        steps, rule = self.match(asked)
+        steps, rule = self.match(request)
         base = explanations.Explanation(table.version, tuple(steps))
         if rule is None:
             return attrs.evolve(base, verdict=explanations.NO_RULE)
         base = attrs.evolve(base, rule=rule.name, then=rule.then)
-        refusal = self.refusal(table, rule, asked.customer)
+        refusal = self.refusal(table, rule, request.customer)
         if refusal:
             return attrs.evolve(base, verdict=refusal)
-        return self.explain_upstreams(base, rule.then, asked)
+        return self.explain_upstreams(base, rule.then, request)
 
     def match(
-        self, asked: Asked
+        self, request: ExplainRequest
     ) -> tuple[list[explanations.RuleStep], forwarding.ForwardRule | None]:
-        """Returns the rules that are looked at, and the one that matches."""
+        """Returns the rules that are evaluated, and the one that matches."""
         facts = rules_module.Facts(
             customer='',
-            method=asked.method.upper(),
-            path=asked.path.partition('?')[0],
-            headers=asked.headers,
+            method=request.method.upper(),
+            path=request.path.partition('?')[0],
+            headers=request.headers,
         )
         steps = []
         for compiled in self.entry.compiled.rules:
@@ -98,13 +98,13 @@
         rule: forwarding.ForwardRule,
         customer: str,
     ) -> str:
-        """Returns why the customer would be refused, empty if not."""
+        """Returns why the customer would be refused, empty if it is not."""
         if not table.customers or rule.then.public:
             return ''
         if not self.entry.followed.may_serve_credentials():
             return STALE
-        named = [one for one in table.customers if one.name == customer]
-        if not any(one.credentials for one in named):
+        named = [entry for entry in table.customers if entry.name == customer]
+        if not any(entry.credentials for entry in named):
             return NO_CREDENTIAL
         return ''
 
@@ -112,18 +112,18 @@
         self,
         base: explanations.Explanation,
         then: forwarding.Forward,
-        asked: Asked,
+        request: ExplainRequest,
     ) -> explanations.Explanation:
         """Returns the explanation with the upstreams of the service."""
-        # a request without an id of its own stands for all: the pool with
-        # the greatest weight is the one that most of them go to
+        # The request has no id by which its pool is drawn. The pool with the
+        # greatest weight is the one that most requests are sent to.
         service = max(then.pools, key=lambda share: share.weight).pool
-        need = choice_module.Need(
+        prompt = choice_module.RequestPrompt(
             choice_module.parse_parts(
-                asked.headers.get(self.entry.headers.prompt_parts)
+                request.headers.get(self.entry.headers.prompt_parts)
             )
         )
-        choice = self.chooser.choose(service, need, (), asked.path)
+        choice = self.chooser.choose(service, prompt, (), request.path)
         candidates = self.candidates(service, choice)
         if choice.upstream is None:
             return attrs.evolve(
@@ -142,15 +142,17 @@
     def candidates(
         self, service: str, choice: choice_module.Choice
     ) -> tuple[explanations.CandidateStep, ...]:
-        """Returns a line for each upstream of a service."""
+        """Returns the verdict on each upstream of a service."""
         current = self.entry.followed.current
-        passed = {one.upstream: one.reason for one in choice.passed_over}
+        passed_over = {
+            entry.upstream: entry.reason for entry in choice.passed_over
+        }
         usable = self.chooser.directory.candidates(service).by_name
         steps = []
         for upstream in current.upstreams.values():
             if upstream.vm.service != service:
                 continue
-            verdict = passed.get(upstream.instance, explanations.LATER)
+            verdict = passed_over.get(upstream.instance, explanations.LATER)
             if upstream.instance not in usable:
                 verdict = LEAVING
             if upstream == choice.upstream:
@@ -161,7 +163,7 @@
     def step(
         self, upstream: forwarding.Upstream, verdict: str
     ) -> explanations.CandidateStep:
-        """Returns the line of one upstream."""
+        """Returns the verdict on one upstream, with its load."""
         loads = self.chooser.loads
         report = loads.reports.get(upstream.instance)
         age = None
--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -21,7 +21,7 @@
     from lavenderbend.coordination.forwarding import budget as budget_module
     from lavenderbend.coordination.forwarding import hops
     from lavenderbend.coordination.forwarding import interfaces
-    from lavenderbend.coordination.forwarding import placing as placing_module
+    from lavenderbend.coordination.forwarding import reserving_chooser
     from lavenderbend.coordination.forwarding import tickets
     from lavenderbend.state import forwarding
 
@@ -66,7 +66,7 @@
     def __init__(
         self,
         entry: entry_module.Entry,
-        placing: placing_module.Placing,
+        placing: reserving_chooser.ReservingChooser,
         attempts: attempts_module.Attempts,
         budget: budget_module.RepeatBudget,
     ) -> None:
@@ -248,7 +248,7 @@
     ) -> forwarding.Upstream | None:
         """Returns the upstream that comes next, None if there is none."""
         choice = await self.placing.choose(ticket)
-        ticket.wanted_in = choice.wanted_in
+        ticket.wanted_in = choice.retry_after_seconds
         if choice.upstream is None:
             return None
         record = decisions_module.Attempt(
@@ -276,7 +276,7 @@
             if answer.started and not self.may_resume(ticket):
                 # nobody could go on: what is silent may still come
                 return False
-            if not self.chooser.any_wants(ticket.service):
+            if not self.chooser.any_accepts(ticket.service):
                 return False
             self.drop_lapsed(ticket)
             if ticket.may_send:
--- a/lavenderbend/coordination/forwarding/outgoing.py
+++ b/lavenderbend/coordination/forwarding/outgoing.py
@@ -102,7 +102,7 @@
                 ticket.need.chat,
                 ticket.need.parts,
                 upstream.instance,
-                elsewhere=bool(ticket.placed[-1].passed_over),
+                displaced=bool(ticket.placed[-1].passed_over),
             )
 
     def copy_source(
@@ -122,7 +122,7 @@
             return None
         found = source.upstream
         record = ticket.placed[-1]
-        record.copied_from = f'{found.instance}: {source.why}'
+        record.copied_from = f'{found.instance}: {source.reason}'
         return f'{found.vm.host}:{found.vm.port}'.encode()
 
 
--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -199,7 +199,7 @@
         while True:
             self.members.forget_old()
             self.facts.tidy()
-            self.prompts.tidy()
+            self.prompts.remove_expired()
             self.owners.tidy()
             self.reservations.owned.tidy()
             self.note_size()
@@ -337,7 +337,7 @@
             reports=self.loads.told_reports(far=not near),
             requests=self.loads.told_requests(),
             hosts=self.members.told(self.rng, zone, new),
-            prompts=self.prompts.told(far=not near),
+            prompts=self.prompts.rows_to_send(other_zone=not near),
         )
 
     def state(
@@ -400,7 +400,7 @@
         if trio.current_time() - self.started < LEARN_BOUND_SECONDS:
             self.bound.note(state.bound)
         self.loads.note(state)
-        self.prompts.take(state.prompts)
+        self.prompts.merge(state.prompts)
         self.facts.take_all(state.facts)
 
     def should_answer(
--- /dev/null
+++ b/lavenderbend/coordination/forwarding/reserving_chooser.py
@@ -0,0 +1,295 @@
+"""Selection of upstreams for prompts, with reservations at their owners.
+
+In a fleet of many routers this handles the load of many prompts that no
+upstream has cached yet, as at the beginning of a day, in a burst or after
+engines died. If prompts are placed by hashing alone, they queue at some
+upstreams while others have nothing to process.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import attrs
+import trio
+
+from lavenderbend.coordination.forwarding import choice as choice_module
+from lavenderbend.coordination.forwarding import owned_loads
+from lavenderbend.coordination.forwarding import (
+    reservations as reservations_module,
+)
+from lavenderbend.state import decisions
+from lavenderbend.state import hashing
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from collections.abc import Iterable
+    from collections.abc import Mapping
+    from collections.abc import Sequence
+
+    from lavenderbend.coordination.forwarding import tickets
+    from lavenderbend.state import forwarding
+
+# Up to this many routers learn of each other's requests soon enough without
+# asking owners.
+SMALL_FLEET_ROUTERS = 12
+# Unprocessed tokens at an upstream that delay a long prompt by less than its
+# own processing time. A chat that moves costs more than that: its prompt is
+# copied, and the copy displaces other prompts from memory.
+LOW_UNREAD_TOKENS = 5000
+# Upstreams below the load bound whose owners are asked at most, at two
+# milliseconds each.
+MAX_OPEN_OFFERS = 3
+# Upstreams whose owners are asked at most, including those over the bound.
+# After a full upstream the next one is asked about: routers that all have
+# requests of one chat learn of each other's requests too late, and would
+# overload the upstream that each of them believes to be free.
+MAX_OFFERS = 10
+
+HOLDS_CHAT = 'holds the chat'
+LESS_UNREAD = 'less to read'
+MORE_UNREAD = 'more to read'
+
+
+@attrs.frozen
+class Offer:
+    """An upstream that a request may be sent to, by its owner's answer.
+
+    Attributes:
+        reservation: The owner's answer.
+        load: Requests that the upstream holds: the owner's count, or the
+            reported load if that is higher. A router that has just become the
+            owner counts from zero, and would let requests exceed the bound.
+        holds: Whether the upstream has the chat cached.
+        held: Whether any upstream has.
+    """
+
+    reservation: reservations_module.Reservation
+    load: int
+    holds: bool
+    held: bool
+
+    def unread(self, prompt: reservations_module.Prompt) -> int:
+        """Returns the tokens to process before the request's first output."""
+        own = owned_loads.unread_tokens(
+            prompt.tokens, prompt.own_tokens, self.holds, self.held
+        )
+        return self.reservation.unread + own
+
+
+def is_good(offer: Offer, bound: int) -> bool:
+    """Returns whether no other upstream needs to be asked about."""
+    if offer.load >= bound:
+        return False
+    if offer.held and not offer.holds:
+        return False
+    return offer.reservation.unread <= LOW_UNREAD_TOKENS
+
+
+def needs_another_offer(offers: Sequence[Offer], bound: int) -> bool:
+    """Returns whether the owner of one more upstream is asked."""
+    if not offers:
+        return True
+    if is_good(offers[-1], bound) or len(offers) >= MAX_OFFERS:
+        return False
+    return sum(offer.load < bound for offer in offers) < MAX_OPEN_OFFERS
+
+
+def best(
+    offers: Sequence[Offer], prompt: reservations_module.Prompt, bound: int
+) -> Offer | None:
+    """Returns the offer that a request uses, None if all are over the bound.
+
+    A later offer must save a delay that a caller would notice: each move of a
+    chat costs a copy of its prompt, or leaves the prompt cached at two
+    upstreams.
+    """
+    open_offers = [offer for offer in offers if offer.load < bound]
+    if not open_offers:
+        return None
+    chosen = open_offers[0]
+    for offer in open_offers[1:]:
+        if offer.unread(prompt) + LOW_UNREAD_TOKENS < chosen.unread(prompt):
+            chosen = offer
+    return chosen
+
+
+class ReservingChooser:
+    """Chooses upstreams, in large fleets by the answers of their owners.
+
+    Attributes:
+        chooser: Chooses by what this router knows.
+        reservations: Reserves at owners.
+        instances: Instances of upstreams by short id.
+        fleet_size: Returns the number of routers.
+    """
+
+    def __init__(
+        self,
+        chooser: choice_module.Chooser,
+        reservations: reservations_module.Reservations,
+        instances: Mapping[int, str],
+        fleet_size: Callable[[], int],
+    ) -> None:
+        self.chooser = chooser
+        self.reservations = reservations
+        self.instances = instances
+        self.fleet_size = fleet_size
+
+    async def choose(self, ticket: tickets.Ticket) -> choice_module.Choice:
+        """Chooses the next upstream of a request and reserves it there."""
+        choice = self.chooser.choose(
+            ticket.service, ticket.need, ticket.tried, ticket.id
+        )
+        ticket.taken = None
+        if choice.upstream is None or not ticket.need.parts:
+            return choice
+        if self.fleet_size() <= SMALL_FLEET_ROUTERS:
+            return choice
+        prompt = make_prompt(ticket.need.parts, ticket.need.chat)
+        offers = await self.ask(ticket, prompt, choice.allowed)
+        # Upstreams may have come or gone while owners were asked.
+        upstreams = self.chooser.directory.candidates(ticket.service).by_name
+        remaining = [
+            offer for offer in offers if offer.reservation.instance in upstreams
+        ]
+        chosen = best(remaining, prompt, choice.allowed)
+        self.release(offers, chosen)
+        if chosen is None:
+            return self.chooser.choose(
+                ticket.service, ticket.need, ticket.tried, ticket.id
+            )
+        ticket.taken = reservations_module.Taken(
+            self.reservations,
+            chosen.reservation,
+            offers[0].reservation,
+            prompt.chat,
+            self.names(offers[0].reservation.holders),
+        )
+        upstream = upstreams[chosen.reservation.instance]
+        return make_choice(upstream, offers, chosen, choice.allowed)
+
+    async def ask(
+        self,
+        ticket: tickets.Ticket,
+        prompt: reservations_module.Prompt,
+        bound: int,
+    ) -> list[Offer]:
+        """Reserves at owners in turn, until an offer is good enough."""
+        usable = self.chooser.usable(ticket.service, ticket.need, ticket.tried)
+        offers: list[Offer] = []
+        try:
+            while needs_another_offer(offers, bound):
+                upstream = self.next_to_ask(usable, offers, bound)
+                if upstream is None:
+                    break
+                reservation = await self.reservations.ask(
+                    upstream, prompt, ticket.left
+                )
+                if reservation is None:
+                    break
+                local_load = self.chooser.loads.load(upstream.instance)
+                offers.append(make_offer(reservation, local_load, offers))
+        except trio.Cancelled:
+            self.release(offers, None)
+            raise
+        return offers
+
+    def next_to_ask(
+        self,
+        usable: choice_module.UsableUpstreams,
+        offers: Sequence[Offer],
+        bound: int,
+    ) -> forwarding.Upstream | None:
+        """Returns the upstream whose owner is asked next, None if none is.
+
+        The chat's preferred upstream comes first, then those that hold the
+        chat, then the next one in the chat's order that is not over the bound
+        as far as this router knows.
+        """
+        asked = {offer.reservation.instance for offer in offers}
+        holders = offers[0].reservation.holders if offers else ()
+        for name in self.names(holders):
+            if name not in asked and usable.has(name):
+                return usable.candidates.by_name[name]
+        while (upstream := usable.next(asked)) is not None:
+            local_load = self.chooser.loads.load(upstream.instance)
+            if not offers or local_load < bound:
+                return upstream
+            asked.add(upstream.instance)
+        return None
+
+    def names(self, short_ids: Iterable[int]) -> list[str]:
+        """Returns the instances of short ids, without unknown ones."""
+        names = (self.instances.get(short) for short in short_ids)
+        return [name for name in names if name is not None]
+
+    def release(self, offers: Sequence[Offer], chosen: Offer | None) -> None:
+        """Releases the reservations of all offers but the chosen one."""
+        for offer in offers:
+            if offer is not chosen:
+                self.reservations.note(
+                    offer.reservation, owned_loads.NoteKind.ENDED, 0
+                )
+
+
+def make_choice(
+    upstream: forwarding.Upstream,
+    offers: Sequence[Offer],
+    chosen: Offer,
+    bound: int,
+) -> choice_module.Choice:
+    """Returns the choice of an offer, with why the others were passed over."""
+    reason = choice_module.PROMPT_CACHED
+    if chosen is not offers[0]:
+        reason = HOLDS_CHAT if chosen.holds else LESS_UNREAD
+    passed_over = tuple(
+        decisions.PassedOver(
+            offer.reservation.instance, pass_over_reason(offer, bound)
+        )
+        for offer in offers
+        if offer is not chosen
+    )
+    return choice_module.Choice(
+        upstream, reason, chosen.load, bound, passed_over
+    )
+
+
+def make_prompt(
+    parts: Sequence[choice_module.PromptPart], chat: str
+) -> reservations_module.Prompt:
+    """Returns the description of a prompt that is sent to owners."""
+    tokens = sum(part.tokens for part in parts)
+    own = parts[-1].tokens if len(parts) > 1 else 0
+    return reservations_module.Prompt(hashing.short_id(chat), tokens, own)
+
+
+def make_offer(
+    reservation: reservations_module.Reservation,
+    local_load: int,
+    earlier: Sequence[Offer],
+) -> Offer:
+    """Returns an owner's answer as an offer.
+
+    The owner of the chat's preferred upstream, which is asked first, knows
+    which upstreams hold the chat.
+
+    Args:
+        reservation: The owner's answer.
+        local_load: Requests at the upstream, as far as this router knows.
+        earlier: Offers by other owners.
+    """
+    holders = {*reservation.holders}
+    for offer in earlier:
+        holders.update(offer.reservation.holders)
+    load = max(reservation.load, local_load)
+    return Offer(
+        reservation, load, reservation.upstream in holders, bool(holders)
+    )
+
+
+def pass_over_reason(offer: Offer, bound: int) -> str:
+    """Returns why an offer was passed over."""
+    if offer.load >= bound:
+        return choice_module.OVER_BOUND
+    return MORE_UNREAD
--- a/lavenderbend/coordination/forwarding/tickets.py
+++ b/lavenderbend/coordination/forwarding/tickets.py
@@ -73,7 +73,7 @@
     customer: str
     rank: int
     deadline: float
-    need: choice.Need = attrs.field(factory=choice.Need)
+    need: choice.RequestPrompt = attrs.field(factory=choice.RequestPrompt)
     cutter: events.EventCutter = attrs.field(factory=events.EventCutter)
     used: list[str] = attrs.field(factory=list)
     placed: list[decisions.Attempt] = attrs.field(factory=list)
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -22,7 +22,7 @@
 from lavenderbend.coordination.forwarding import loads
 from lavenderbend.coordination.forwarding import outgoing
 from lavenderbend.coordination.forwarding import peers
-from lavenderbend.coordination.forwarding import placing
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
 from lavenderbend.coordination.forwarding import suspicions
@@ -138,7 +138,7 @@
             entry.Entry(
                 self.snapshots, settings.headers, settings.apply_seconds
             ),
-            placing.Placing(
+            reserving_chooser.ReservingChooser(
                 choice.Chooser(
                     self.settings.availability_zone,
                     self.directory,
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -82,7 +82,7 @@
     question = operator_decisions.read_question(body)
     headers = {name.lower(): text for name, text in question.headers.items()}
     found = app.explainer.explain(
-        explain_module.Asked(
+        explain_module.ExplainRequest(
             question.customer, question.method, question.path, headers
         )
     )
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -23,8 +23,8 @@
 from lavenderbend.coordination.forwarding import loads
 from lavenderbend.coordination.forwarding import outgoing
 from lavenderbend.coordination.forwarding import peers
-from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import prompt_holders
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.coordination.forwarding import shared_loads
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
@@ -306,7 +306,7 @@
             self.loads,
             2.0,
         )
-        self.placing = placing.Placing(
+        self.placing = reserving_chooser.ReservingChooser(
             self.chooser, None, self.shared_loads.instances, lambda: 1
         )
         self.forwarder = forwarder.Forwarder(
--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -90,7 +90,7 @@
     router.snapshots.note_answered(trio.current_time())
     router.snapshots.accept(fakes.snapshot(3, fakes.table(1)), NOW)
     assert names(router) == ['e1', 'e2']
-    router.directory.note_left('e1', 2)
+    router.directory.note_leaving_in_store('e1', 2)
     assert names(router) == ['e2']
 
 
@@ -190,7 +190,7 @@
         fakes.snapshot(1, fakes.table(1), fakes.upstream('e1')), exchanges
     )
     await router.ask()
-    router.directory.misplaced.clear()
+    router.directory.replaced.clear()
     answer, _ = await router.ask()
     assert answer.status == 200
 
@@ -217,8 +217,8 @@
         fakes.snapshot(1, fakes.table(1), *found), fakes.Exchanges()
     )
     for number in range(12):
-        router.directory.note_left(f'e{number}', 2)
+        router.directory.note_leaving_in_store(f'e{number}', 2)
         await trio.sleep(0.05)
-    former = router.directory.former('chat', 0.0)
+    former = router.directory.former_upstreams('chat', 0.0)
     assert len(former[-1].names) == 20
     assert len(names(router)) == 8
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -14,8 +14,8 @@
 from bench.fleet import world
 from lavenderbend.coordination.forwarding import choice
 from lavenderbend.coordination.forwarding import owned_loads
-from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import reservations
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.protocol import messages_forwarding
 from lavenderbend.state import hashing
 
@@ -223,7 +223,7 @@
     chats, autojump_clock
 ):
     found = await chats.placing.choose(ticket())
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     assert found.upstream.instance == places.first('chat-1')
     assert found.reason == choice.PROMPT_CACHED
 
@@ -232,18 +232,18 @@
     chats, autojump_clock
 ):
     first = await chats.placing.choose(ticket())
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     number = 2
     while places.first(f'chat-{number}') != first.upstream.instance:
         number += 1
     other = ticket(f'chat-{number}')
     found = await chats.placing.choose(other)
     assert found.upstream.instance != first.upstream.instance
-    assert found.reason == placing.LESS_UNREAD
+    assert found.reason == reserving_chooser.LESS_UNREAD
     assert [one.upstream for one in found.passed_over] == [
         first.upstream.instance
     ]
-    assert found.passed_over[0].reason == placing.MORE_UNREAD
+    assert found.passed_over[0].reason == reserving_chooser.MORE_UNREAD
 
 
 @pytest.mark.parametrize(
@@ -278,7 +278,7 @@
 ):
     # An owner that has just become one counts from nothing, and would send
     # requests to an upstream that is over its bound.
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     place = places.first('chat-1')
     chats.router.loads.note_report(place, b'30,0,32')
     found = await chats.placing.choose(ticket())
@@ -289,7 +289,7 @@
 async def test_upstream_that_leaves_while_owners_are_asked_is_not_chosen(
     chats, nursery, autojump_clock
 ):
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     place = places.first('chat-1')
     subject = ticket()
     found = []
@@ -299,7 +299,7 @@
 
     nursery.start_soon(choose)
     await trio.sleep(0.0)
-    chats.chooser.directory.misplaced.add(place)
+    chats.chooser.directory.replaced.add(place)
     await trio.sleep(0.2)
     assert found[0].upstream.instance != place
     if subject.taken is not None:
@@ -307,7 +307,9 @@
 
 
 async def test_nobody_is_asked_in_a_small_fleet(nursery, autojump_clock):
-    fleet = await started(nursery, placing.SMALL_FLEET, loss=0.0)
+    fleet = await started(
+        nursery, reserving_chooser.SMALL_FLEET_ROUTERS, loss=0.0
+    )
     chats = prompts.Chats(fleet.routers[0], by_owners=True)
     subject = ticket()
     await chats.placing.choose(subject)
@@ -352,12 +354,12 @@
 async def test_full_upstreams_are_passed_by_until_one_has_room(
     chats, autojump_clock
 ):
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     order = list(places.order('chat-1'))
     owners = chats.placing.reservations
-    bound = chats.chooser.allowed(places.sample)
+    bound = chats.chooser.load_bound(places.sample)
     for name in order[:5]:
-        upstream = chats.placing.chooser.directory.known(name)
+        upstream = chats.placing.chooser.directory.find(name)
         for _ in range(bound):
             found = await owners.ask(upstream, PROMPT, 5.0)
             assert found is not None, (name, owners.owners.members.far)
@@ -366,7 +368,7 @@
     found = await chats.placing.choose(ticket())
     assert found.upstream.instance == order[5]
     assert [one.reason for one in found.passed_over] == (
-        [choice.OVER_ITS_BOUND] * 5
+        [choice.OVER_BOUND] * 5
     )
 
 
--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -78,7 +78,7 @@
         choice.PromptPart(f'chat-{chat}', kind[1]),
         choice.PromptPart('own', kind[2]),
     )
-    return choice.Need(parts)
+    return choice.RequestPrompt(parts)
 
 
 def chosen(world, chat, zone='sala-a', kind=LONG_PROMPT):
@@ -88,9 +88,9 @@
 def test_parts_of_a_prompt():
     parts = choice.parse_parts('5c1e:800,91bd:410,e440:250')
     assert [part.tokens for part in parts] == [800, 410, 250]
-    assert choice.placing_key(parts) == '91bd'
-    assert choice.placing_key(parts[:2]) == '91bd'
-    assert choice.placing_key(parts[:1]) == '5c1e'
+    assert choice.affinity_key(parts) == '91bd'
+    assert choice.affinity_key(parts[:2]) == '91bd'
+    assert choice.affinity_key(parts[:1]) == '5c1e'
     for text in (None, '', 'x', 'x:', ':5', 'a:1,b', 'a:-1'):
         assert choice.parse_parts(text) == ()
 
@@ -136,7 +136,7 @@
     world.set(fakes.upstream('e0'))
     world.health.note_unreachable('e0')
     found = chosen(world, 1)
-    assert (found.upstream.instance, found.reason) == ('e0', choice.AVOIDED)
+    assert (found.upstream.instance, found.reason) == ('e0', choice.ALL_AVOIDED)
 
 
 async def test_service_without_upstreams_has_no_choice(world, autojump_clock):
@@ -224,7 +224,7 @@
             'chat', f'chat-{chat}', need(chat).parts, now
         )
         assert source.upstream == first
-        assert source.why == cached_prompts.FIRST_PART
+        assert source.reason == cached_prompts.HOLDS_SHARED_PREFIX
     world.health.note_unreachable(first.instance)
     chat = others[0]
     now = chosen(world, chat).upstream
@@ -245,14 +245,14 @@
     assert spilled.passed_over
     told = prompt_holders.PromptHolders()
     told.note_chat('chat-7', spilled.upstream.instance)
-    world.holders.take(told.told(far=False))
+    world.holders.merge(told.rows_to_send(other_zone=False))
     for _ in range(40):
         world.loads.end(first.instance)
     again = chosen(world, 7).upstream
     assert again == first
     source = world.cached.source('chat', 'chat-7', need(7).parts, again)
     assert source.upstream == spilled.upstream
-    assert source.why == cached_prompts.SERVED_THERE
+    assert source.reason == cached_prompts.SERVED_BY_OTHER_ROUTER
 
 
 async def test_holders_of_a_first_part_are_told_and_forgotten(autojump_clock):
@@ -260,16 +260,19 @@
     one = prompt_holders.PromptHolders()
     other = prompt_holders.PromptHolders()
     for instance in ('e1', 'e2', 'e3', 'e4'):
-        one.note_first_part(parts, instance)
-    other.take(one.told(far=False))
-    found = other.of_first_part(parts, lambda short: True)
+        one.note_shared_prefix(parts, instance)
+    other.merge(one.rows_to_send(other_zone=False))
+    found = other.shared_prefix_holder(parts, lambda short: True)
     names = {hashing.short_id(name) for name in ('e1', 'e2', 'e3')}
     assert found in names
-    assert other.of_first_part(parts, lambda short: short not in names) is None
-    await trio.sleep(prompt_holders.HOLD_SECONDS + 0.1)
-    other.tidy()
-    assert other.of_first_part(parts, lambda short: True) is None
-    assert other.told(far=True) == b''
+    assert (
+        other.shared_prefix_holder(parts, lambda short: short not in names)
+        is None
+    )
+    await trio.sleep(prompt_holders.HOLDER_TTL_SECONDS + 0.1)
+    other.remove_expired()
+    assert other.shared_prefix_holder(parts, lambda short: True) is None
+    assert other.rows_to_send(other_zone=True) == b''
 
 
 async def test_latest_holders_of_a_chat_stay(autojump_clock):
@@ -278,31 +281,34 @@
         known.note_chat('chat-1', instance)
         await trio.sleep(1.0)
     names = [hashing.short_id(name) for name in ('e4', 'e3', 'e2')]
-    assert known.of_chat('chat-1') == names
+    assert known.chat_holders('chat-1') == names
 
 
 async def test_parts_that_begin_one_chat_each_stay_few(autojump_clock):
     # Each chat begins with a text of its own: there is nothing to share, and
     # its routers must not tell each other of each.
     known = prompt_holders.PromptHolders()
-    for chat in range(prompt_holders.MAX_FIRST_PARTS + 50):
+    for chat in range(prompt_holders.MAX_SHARED_PREFIXES + 50):
         parts = choice.parse_parts(f'{chat:x}:100,c{chat:x}:900,f:10')
-        known.note_first_part(parts, 'e1')
-    assert len(known.holders) == prompt_holders.MAX_FIRST_PARTS
-    assert len(known.told(far=False)) <= 9 * prompt_holders.MAX_NEAR_TOLD
+        known.note_shared_prefix(parts, 'e1')
+    assert len(known.holders) == prompt_holders.MAX_SHARED_PREFIXES
+    assert (
+        len(known.rows_to_send(other_zone=False))
+        <= 9 * prompt_holders.MAX_ROWS_SAME_ZONE
+    )
 
 
 async def test_what_is_told_of_holders_is_bounded(autojump_clock):
     # In an overload nearly all chats are served elsewhere than at their
     # places: what was told longest ago is left out.
     known = prompt_holders.PromptHolders()
-    for chat in range(3 * prompt_holders.MAX_WAITING):
+    for chat in range(3 * prompt_holders.MAX_PENDING_ROWS):
         known.note_chat(f'chat-{chat}', 'e1')
     messages = 0
-    while known.told(far=False):
+    while known.rows_to_send(other_zone=False):
         messages += 1
-    rows = prompt_holders.MAX_WAITING * prompt_holders.TELLINGS
-    assert messages <= rows / prompt_holders.MAX_NEAR_TOLD + 1
+    rows = prompt_holders.MAX_PENDING_ROWS * prompt_holders.TRANSMISSIONS
+    assert messages <= rows / prompt_holders.MAX_ROWS_SAME_ZONE + 1
 
 
 async def test_upstream_that_fails_requests_still_hands_out_its_cache(
@@ -318,7 +324,7 @@
     assert now.instance != before
     source = world.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source.upstream.instance == before
-    assert source.why == cached_prompts.FIRST_PLACE
+    assert source.reason == cached_prompts.PREFERRED
     world.health.note_silent(before)
     source = world.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
--- a/tests/test_coordination/test_forwarding_path.py
+++ b/tests/test_coordination/test_forwarding_path.py
@@ -396,7 +396,9 @@
     names = tuple(f'e{number}' for number in range(1, 11))
     exchanges = fakes.Exchanges(**{name: [fakes.reply()] for name in names})
     the_router = router(exchanges, ONCE, names)
-    first = the_router.chooser.choose('chat', choice_module.Need(), (), 'r1')
+    first = the_router.chooser.choose(
+        'chat', choice_module.RequestPrompt(), (), 'r1'
+    )
     exchanges.dead = set(names) - {'e7'}
     assert first.upstream.instance in names
     answer, error = await the_router.ask()
@@ -522,7 +524,9 @@
         fakes.snapshot(2, fakes.table(1, IDEMPOTENT), later),
         the_router.clock(),
     )
-    choice = the_router.chooser.choose('chat', choice_module.Need(), (), 't')
+    choice = the_router.chooser.choose(
+        'chat', choice_module.RequestPrompt(), (), 't'
+    )
     assert (choice.load, choice.reason) == (0, choice_module.LEAST_LOADED)
     _, error = await the_router.ask()
     assert error is None
