--- a/tests/test_coordination/test_forwarding_fleet.py
+++ b/tests/test_coordination/test_forwarding_fleet.py
@@ -1,4 +1,4 @@
-"""What the routers of a large fleet believe, with 2 % of messages lost."""
+"""State that the routers of a large fleet share, with 2 % message loss."""
 
 from __future__ import annotations
 
@@ -10,163 +10,177 @@
 from lavenderbend.coordination.forwarding import fleet_count
 from lavenderbend.coordination.forwarding import zone_members
 
-SIZES = (30, 200)
-LARGE = 1000
-# what the whole fleet may repeat beyond its requests
-WHOLE = 1.0
+FLEET_SIZES = (30, 200)
+LARGE_FLEET_SIZE = 1000
+# Retries that all routers together may send, as a fraction of the fleet's
+# retry budget.
+WHOLE_BUDGET = 1.0
 
 
-async def started(nursery, size, **kept):
-    fleet = world.make(nursery, size, **kept)
+async def start_fleet(nursery, size, **options):
+    fleet = world.make(nursery, size, **options)
     await fleet.start_all(list(range(size)))
     return fleet
 
 
-async def watched(fleet, seconds):
-    found = await measures.watch(fleet, seconds)
-    assert found['most_extra'] <= WHOLE
-    return found
+async def watch_budget(fleet, seconds):
+    figures = await measures.watch(fleet, seconds)
+    assert figures['most_extra'] <= WHOLE_BUDGET
+    return figures
 
 
-@pytest.mark.parametrize('size', SIZES)
-async def test_all_are_counted_three_seconds_after_the_start(
+@pytest.mark.parametrize('size', FLEET_SIZES)
+async def test_all_routers_are_counted_three_seconds_after_start(
     nursery, autojump_clock, size
 ):
-    # All routers start at once, and one of the three addresses that each is
-    # given is stale. While they find each other each counts only some: what
-    # all may repeat was divided by those, and they took it many times over.
-    fleet = await started(nursery, size)
-    found = await watched(fleet, 10.0)
-    assert 0.0 <= found['right_after'] <= 3.0
+    # All routers start at once, and one of the three seed addresses of each is
+    # stale. While they discover each other each counts only some routers. The
+    # retry budget was divided by that count, and the fleet exceeded it many
+    # times over.
+    fleet = await start_fleet(nursery, size)
+    figures = await watch_budget(fleet, 10.0)
+    assert 0.0 <= figures['right_after'] <= 3.0
 
 
-@pytest.mark.parametrize('size', SIZES)
-async def test_half_that_die_are_counted_no_more_after_five_seconds(
+@pytest.mark.parametrize('size', FLEET_SIZES)
+async def test_dead_half_is_not_counted_after_five_seconds(
     nursery, autojump_clock, size
 ):
-    fleet = await started(nursery, size)
-    await watched(fleet, 8.0)
-    found = await measures.half_killed(fleet)
-    assert 0.0 <= found['right_after'] <= 5.0
-    assert 0.0 <= found['right_after_return'] <= 3.0
-    assert found['most_extra'] <= WHOLE
+    # Guards against routers that keep dead ones in their count, or exceed the
+    # retry budget while half of the fleet dies and returns.
+    fleet = await start_fleet(nursery, size)
+    await watch_budget(fleet, 8.0)
+    figures = await measures.half_killed(fleet)
+    assert 0.0 <= figures['right_after'] <= 5.0
+    assert 0.0 <= figures['right_after_return'] <= 3.0
+    assert figures['most_extra'] <= WHOLE_BUDGET
 
 
 async def test_thousand_routers_count_each_other_and_share_the_budget(
     nursery, autojump_clock
 ):
-    fleet = await started(nursery, LARGE, engines=30)
-    found = await watched(fleet, 7.0)
-    assert 0.0 <= found['right_after'] <= 3.0
-    for number in fleet.rng.sample(sorted(fleet.routers), LARGE // 2):
+    fleet = await start_fleet(nursery, LARGE_FLEET_SIZE, engines=30)
+    figures = await watch_budget(fleet, 7.0)
+    assert 0.0 <= figures['right_after'] <= 3.0
+    for number in fleet.rng.sample(
+        sorted(fleet.routers), LARGE_FLEET_SIZE // 2
+    ):
         fleet.end(number)
-    found = await watched(fleet, 6.0)
-    assert 0.0 <= found['right_after'] <= 5.0
+    figures = await watch_budget(fleet, 6.0)
+    assert 0.0 <= figures['right_after'] <= 5.0
 
 
-async def test_zone_that_nobody_hears_takes_no_more_of_the_budget(
+async def test_unheard_zone_does_not_exceed_the_retry_budget(
     nursery, autojump_clock
 ):
-    # Nothing leaves one zone for longer than it is counted on. Those outside
-    # count fewer routers than there are, and still divide by all of them.
-    fleet = await started(nursery, 60)
-    await watched(fleet, 8.0)
+    # Messages from one zone are lost for longer than its count is kept. The
+    # routers outside count fewer than there are, but must still divide the
+    # retry budget by all of them.
+    fleet = await start_fleet(nursery, 60)
+    await watch_budget(fleet, 8.0)
     fleet.net.cut = lambda source, target: (
         fleet.net.zones[source] == 'zone-1'
         and fleet.net.zones[target] != 'zone-1'
     )
-    await watched(fleet, fleet_count.ZONE_SECONDS + 5.0)
-    outside = [r for r in fleet.routers.values() if r.zone != 'zone-1']
+    await watch_budget(fleet, fleet_count.ZONE_SECONDS + 5.0)
+    outside = [
+        router for router in fleet.routers.values() if router.zone != 'zone-1'
+    ]
     assert {router.peers.fleet_size() for router in outside} == {48}
     assert {router.peers.budget_parts() for router in outside} == {60}
     fleet.net.cut = lambda source, target: False
-    found = await watched(fleet, 8.0)
-    assert 0.0 <= found['right_after'] <= 3.0
+    figures = await watch_budget(fleet, 8.0)
+    assert 0.0 <= figures['right_after'] <= 3.0
 
 
-async def test_zones_that_do_not_hear_each_other_share_one_budget(
+async def test_partitioned_zones_share_one_retry_budget(
     nursery, autojump_clock
 ):
-    # All zones are cut off from each other for a minute; in each a router is
-    # replaced meanwhile. Dividing by those that it sees, each zone would
-    # take the whole budget.
-    fleet = await started(nursery, 60)
-    await watched(fleet, 8.0)
+    # All zones are cut off from each other for a minute, and a router of each
+    # is replaced meanwhile. If zones divided the retry budget by the routers
+    # that they see, each would use the whole budget.
+    fleet = await start_fleet(nursery, 60)
+    await watch_budget(fleet, 8.0)
     zones = fleet.net.zones
     fleet.net.cut = lambda source, target: zones[source] != zones[target]
-    await watched(fleet, 20.0)
+    await watch_budget(fleet, 20.0)
     numbers = list(range(5))
     for number in numbers:
         fleet.end(number)
     await fleet.start_all(numbers)
-    await watched(fleet, 40.0)
+    await watch_budget(fleet, 40.0)
 
 
-@pytest.mark.parametrize('size', SIZES)
-async def test_killed_at_once_all_serve_and_count_again(
+@pytest.mark.parametrize('size', FLEET_SIZES)
+async def test_all_routers_recover_after_being_killed_at_once(
     nursery, autojump_clock, size
 ):
-    fleet = await started(nursery, size)
-    await watched(fleet, 6.0)
-    found = await measures.all_killed(fleet)
-    assert 0.0 <= found['table_after'] <= 1.0
-    assert 0.0 <= found['right_after'] <= 3.0
-    assert found['most_extra'] <= WHOLE
+    fleet = await start_fleet(nursery, size)
+    await watch_budget(fleet, 6.0)
+    figures = await measures.all_killed(fleet)
+    assert 0.0 <= figures['table_after'] <= 1.0
+    assert 0.0 <= figures['right_after'] <= 3.0
+    assert figures['most_extra'] <= WHOLE_BUDGET
 
 
-@pytest.mark.parametrize('size', SIZES)
-async def test_fact_reaches_nearly_all_within_a_second(
+@pytest.mark.parametrize('size', FLEET_SIZES)
+async def test_fact_reaches_99_percent_of_routers_within_a_second(
     nursery, autojump_clock, size
 ):
-    fleet = await started(nursery, size)
+    fleet = await start_fleet(nursery, size)
     await trio.sleep(6.0)
     assert 0.0 < await measures.crash_notice(fleet) <= 1.0
     assert 0.0 < await measures.suspicion(fleet) <= 1.0
     assert 0.0 < await measures.departures(fleet) <= 1.0
 
 
-@pytest.mark.parametrize('size', SIZES)
-async def test_steady_fleet_keeps_to_its_budgets(nursery, autojump_clock, size):
-    # control may cost a router 17 KB a second, what it sends and gets
-    fleet = await started(nursery, size)
+@pytest.mark.parametrize('size', FLEET_SIZES)
+async def test_steady_fleet_stays_within_its_budgets(
+    nursery, autojump_clock, size
+):
+    # Control traffic of a router, sent and received, is limited to 17 KB a
+    # second.
+    fleet = await start_fleet(nursery, size)
     await trio.sleep(8.0)
-    found = await measures.steady(fleet)
-    assert 2 * found['bytes_per_s'] < 17_000
-    assert found['largest_datagram'] < 1400
-    assert found['extra_least'] >= 0.7
-    # one router reads for all
-    assert found['reads_per_s'] <= 1.0
-    assert found['proof_age_most_s'] < world.REVOCATION_SECONDS / 2
-
-
-async def test_loads_are_known_of_nearly_all_upstreams(nursery, autojump_clock):
-    # Told by each router of its own requests only, 30 in 100 of all requests
-    # were known, and the bound on an upstream was judged by those.
-    fleet = await started(nursery, 200, engines=66)
+    figures = await measures.steady(fleet)
+    assert 2 * figures['bytes_per_s'] < 17_000
+    assert figures['largest_datagram'] < 1400
+    assert figures['extra_least'] >= 0.7
+    # One router reads the store for all.
+    assert figures['reads_per_s'] <= 1.0
+    assert figures['proof_age_most_s'] < world.REVOCATION_SECONDS / 2
+
+
+async def test_loads_of_nearly_all_upstreams_are_known(nursery, autojump_clock):
+    # When each router reported only its own requests, 30 in 100 of all requests
+    # were known, and the load bound of an upstream was computed from those.
+    fleet = await start_fleet(nursery, 200, engines=66)
     await trio.sleep(4.0)
-    found = await measures.loads(fleet)
-    assert 0.8 <= found['known_part_of_total'] <= 1.25
-    assert found['unknown_part'] < 0.05
+    figures = await measures.loads(fleet)
+    assert 0.8 <= figures['known_part_of_total'] <= 1.25
+    assert figures['unknown_part'] < 0.05
 
 
-async def test_sign_of_life_told_in_a_circle_grows_old(autojump_clock):
-    # Three routers tell each other of a fourth that has died. Each telling
-    # rounds its age; rounded down it would live for ever.
+async def test_heartbeat_gossiped_in_a_cycle_expires(autojump_clock):
+    # Three routers gossip the heartbeat of a fourth that has died. Each message
+    # rounds its age; if it were rounded down, the heartbeat would never expire.
     import random
 
-    known = [zone_members.ZoneMembers(f'10.0.0.{one}') for one in range(3)]
-    known[0].note('10.0.0.9')
+    routers = [
+        zone_members.ZoneMembers(f'10.0.0.{number}') for number in range(3)
+    ]
+    routers[0].note('10.0.0.9')
     begin = trio.current_time()
-    while any('10.0.0.9' in one.alive() for one in known):
-        for teller in known:
-            rows = teller.told(random.Random(1))
-            for other in known:
+    while any('10.0.0.9' in router.alive() for router in routers):
+        for sender in routers:
+            rows = sender.told(random.Random(1))
+            for other in routers:
                 other.take(rows)
         await trio.sleep(0.01)
         assert trio.current_time() - begin <= zone_members.HEARD_SECONDS + 0.1
 
 
-async def test_bound_grows_at_once_and_falls_late(autojump_clock):
+async def test_fleet_bound_rises_after_settling_and_falls_late(autojump_clock):
     bound = fleet_count.FleetBound()
     assert bound.parts() == 0
     bound.note(10)
@@ -180,7 +194,8 @@
     await trio.sleep(20.0)
     bound.note(4)
     assert bound.parts() == 4
-    # one more takes its part at once, many more give nobody a part
+    # One router that joins many gets its share at once. From 4 to 5 is larger
+    # growth: no router gets a share until the count has settled.
     bound.note(5)
     assert bound.parts() == 0
     await trio.sleep(fleet_count.SETTLE_SECONDS + 0.1)
--- a/tests/test_coordination/test_forwarding_reading.py
+++ b/tests/test_coordination/test_forwarding_reading.py
@@ -1,4 +1,4 @@
-"""Who reads the store, and how often, over fakes."""
+"""Which router reads the store, and how often, with fakes."""
 
 from __future__ import annotations
 
@@ -20,53 +20,53 @@
 
 @pytest.fixture
 async def fleet(nursery, autojump_clock):
-    found = peer_fleets.Fleet(nursery)
+    started = peer_fleets.Fleet(nursery)
     await trio.sleep(5.0)
-    return found
+    return started
 
 
-def in_turn(fleet):
-    """Returns the routers in the order in which they read."""
+def in_reading_order(fleet):
+    """Returns the routers in the order in which they read the store."""
     nodes = fleet.routers.values()
     return sorted(nodes, key=lambda node: node.peers.reading_place())
 
 
-async def reads_of(fleet, node, seconds):
+async def count_reads(fleet, node, seconds):
     before = node.source.reads
     await trio.sleep(seconds)
     return node.source.reads - before
 
 
-async def test_routers_agree_on_their_places(fleet, autojump_clock):
+async def test_routers_agree_on_the_reading_order(fleet, autojump_clock):
     places = [node.peers.reading_place() for node in fleet.routers.values()]
     assert sorted(places) == [0, 1, 2, 3]
 
 
-async def test_only_the_first_one_reads(fleet, autojump_clock):
-    first, *others = in_turn(fleet)
+async def test_only_the_first_router_reads(fleet, autojump_clock):
+    first, *others = in_reading_order(fleet)
     before = sum(node.source.reads for node in others)
-    assert await reads_of(fleet, first, 10.0) >= 10
+    assert await count_reads(fleet, first, 10.0) >= 10
     assert sum(node.source.reads for node in others) == before
 
 
-async def test_next_one_reads_when_the_store_refuses_the_first(
+async def test_second_router_reads_when_the_store_refuses_the_first(
     fleet, autojump_clock
 ):
-    # The store turns one router away, the one that reads for all. The next
-    # one has its turn a quarter of a second later; the first does not go on
-    # asking a store that turns it away while others bring what it needs.
-    first, second, *_ = in_turn(fleet)
+    # The store refuses only the router that reads for all. The second router
+    # has to take over a quarter of a second later, and the first must not keep
+    # asking the store while others send it what it needs.
+    first, second, *_ = in_reading_order(fleet)
     first.source.error = errors.KeyValueUnavailable('refused')
     refused = first.source.reads
-    assert await reads_of(fleet, second, 10.0) >= 8
+    assert await count_reads(fleet, second, 10.0) >= 8
     assert first.source.reads - refused <= 14
     assert first.snapshots.age < APPLY
 
 
-async def test_next_one_reads_when_the_first_dies(nursery, autojump_clock):
+async def test_second_router_reads_when_the_first_dies(nursery, autojump_clock):
     fleet = peer_fleets.Fleet(nursery)
     await trio.sleep(5.0)
-    first, *others = in_turn(fleet)
+    first, *others = in_reading_order(fleet)
     fleet.isolate_from_peers(first.peers.host)
     before = sum(node.source.reads for node in others)
     await trio.sleep(10.0)
@@ -75,12 +75,12 @@
     assert all(node.snapshots.age < APPLY for node in others)
 
 
-async def test_store_that_is_away_is_not_asked_for_each_request(
+async def test_unavailable_store_is_not_read_for_each_request(
     nursery, autojump_clock
 ):
-    # The store is away for eight seconds. Each request with a credential
-    # wanted a read for itself, and got one: hundreds of calls a second, each
-    # of them paid for, and none of use.
+    # While the store was unavailable for eight seconds, each request with a
+    # credential caused a read of its own: hundreds of calls a second, all of
+    # them billed and none of use.
     source = fakes.Source(fakes.snapshot(1, fakes.table(1)))
     followed = snapshots.Snapshots(
         source,
@@ -98,7 +98,7 @@
     assert source.reads - before <= 8.0 / snapshots.MAX_RETRY_SECONDS * 2 + 4
 
 
-async def test_far_router_asks_a_store_that_is_away_seldom(
+async def test_router_late_in_the_order_rarely_reads_unavailable_store(
     nursery, autojump_clock
 ):
     source = fakes.Source(fakes.snapshot(1, fakes.table(1)))
@@ -118,12 +118,12 @@
     assert source.reads - before <= 20
 
 
-async def test_caller_hears_at_once_that_nothing_fresh_will_come(
+async def test_wait_for_fresh_data_fails_at_once_until_the_next_retry(
     nursery, autojump_clock
 ):
-    # The store was found away, and is asked again in a while. A request that
-    # needs a fresh configuration is refused now, not after a wait that
-    # nothing can end.
+    # The store was found unavailable and is not read again before the next
+    # retry. A request that needs a fresh configuration must be refused now
+    # instead of after a wait that can't succeed.
     source = fakes.Source(fakes.snapshot(1, fakes.table(1)))
     followed = snapshots.Snapshots(
         source,
@@ -143,7 +143,7 @@
     assert trio.current_time() == began
 
 
-def test_places_differ_and_zones_take_turns():
+def test_reading_places_differ_and_zones_alternate():
     zones = {'z1': ['a', 'b', 'c'], 'z2': ['d', 'e', 'f']}
     places = {
         host: reading_turns.place(host, hosts, zone, zones)
@@ -155,7 +155,7 @@
     assert len({host in zones['z1'] for host in firsts}) == 2
 
 
-def test_each_has_its_turn_in_time():
+def test_wait_for_the_own_turn_is_bounded():
     for place in (0, 1, 5, 100, 5000):
         for drawn in (0.0, 0.5, 1.0):
             wait = reading_turns.wait_seconds(place, 0.7, drawn)
