--- a/tests/test_coordination/test_forwarding_offers.py
+++ b/tests/test_coordination/test_forwarding_offers.py
@@ -65,10 +65,11 @@
 async def test_few_routers_of_a_zone_fetch_from_another_zone(
     fleet, autojump_clock
 ):
-    # Each of the twelve routers of a zone fetched a changed configuration from
-    # the router that announced it first, half of them from the other zone. With
-    # two hundred routers and billed traffic between zones, one change of a
-    # large configuration cost as much as all other traffic in a minute.
+    # A configuration changes ten times. Each of the twelve routers of a zone
+    # fetched it from the router that announced it first, half of them from the
+    # other zone. With two hundred routers and billed traffic between zones, one
+    # change of a large configuration cost as much as all other traffic in a
+    # minute.
     for version in range(2, 12):
         fleet.put(fakes.snapshot(version, fakes.table(version)))
         await trio.sleep(4.0)
