--- a/lavenderbend/coordination/forwarding/cached_prompts.py
+++ b/lavenderbend/coordination/forwarding/cached_prompts.py
@@ -62,7 +62,7 @@
     not have seen the chat before.
 
     Attributes:
-        holders: Holders of prompts that the rendezvous order does not tell.
+        holders: Holders of prompts that the rendezvous order does not give.
         instances: Instances of upstreams by short id.
         first_request_at: Router clock of the first request of each service.
         last_upstreams: The upstream that last accepted a request of each chat
