--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -201,7 +201,7 @@
         while True:
             self.members.forget_old()
             self.facts.tidy()
-            self.prompts.tidy()
+            self.prompts.remove_expired()
             self.owners.remove_expired()
             self.reservations.owned.remove_expired()
             self.note_size()
@@ -339,7 +339,7 @@
             reports=self.loads.packed_reports(other_zone=not near),
             requests=self.loads.packed_requests(),
             hosts=self.members.told(self.rng, zone, new),
-            prompts=self.prompts.told(far=not near),
+            prompts=self.prompts.rows_to_send(other_zone=not near),
         )
 
     def state(
@@ -402,7 +402,7 @@
         if trio.current_time() - self.started < LEARN_BOUND_SECONDS:
             self.bound.note(state.bound)
         self.loads.merge(state)
-        self.prompts.take(state.prompts)
+        self.prompts.merge(state.prompts)
         self.facts.take_all(state.facts)
 
     def should_answer(
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -14,8 +14,8 @@
 from bench.fleet import world
 from lavenderbend.coordination.forwarding import choice
 from lavenderbend.coordination.forwarding import owned_loads
-from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import reservations
+from lavenderbend.coordination.forwarding import reserving_chooser
 from lavenderbend.protocol import messages_forwarding
 from lavenderbend.state import hashing
 
@@ -220,7 +220,7 @@
 
 async def test_chat_goes_to_its_idle_preferred_upstream(chats, autojump_clock):
     chosen = await chats.placing.choose(ticket())
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     assert chosen.upstream.instance == places.first('chat-1')
     assert chosen.reason == choice.PROMPT_CACHED
 
@@ -229,18 +229,18 @@
     chats, autojump_clock
 ):
     first = await chats.placing.choose(ticket())
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     number = 2
     while places.first(f'chat-{number}') != first.upstream.instance:
         number += 1
     other = ticket(f'chat-{number}')
     chosen = await chats.placing.choose(other)
     assert chosen.upstream.instance != first.upstream.instance
-    assert chosen.reason == placing.LESS_UNREAD
+    assert chosen.reason == reserving_chooser.LESS_UNREAD
     assert [skipped.upstream for skipped in chosen.passed_over] == [
         first.upstream.instance
     ]
-    assert chosen.passed_over[0].reason == placing.MORE_UNREAD
+    assert chosen.passed_over[0].reason == reserving_chooser.MORE_UNREAD
 
 
 @pytest.mark.parametrize(
@@ -277,7 +277,7 @@
 ):
     # A router that has just become an owner starts counting at zero, and would
     # send requests to an upstream that is over its bound.
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     preferred = places.first('chat-1')
     chats.router.loads.note_report(preferred, b'30,0,32')
     chosen = await chats.placing.choose(ticket())
@@ -288,7 +288,7 @@
 async def test_upstream_that_leaves_during_reservations_is_not_chosen(
     chats, nursery, autojump_clock
 ):
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     preferred = places.first('chat-1')
     subject = ticket()
     choices = []
@@ -298,7 +298,7 @@
 
     nursery.start_soon(choose)
     await trio.sleep(0.0)
-    chats.chooser.directory.misplaced.add(preferred)
+    chats.chooser.directory.replaced.add(preferred)
     await trio.sleep(0.2)
     assert choices[0].upstream.instance != preferred
     if subject.taken is not None:
@@ -306,7 +306,9 @@
 
 
 async def test_small_fleet_makes_no_reservations(nursery, autojump_clock):
-    fleet = await started(nursery, placing.SMALL_FLEET, loss=0.0)
+    fleet = await started(
+        nursery, reserving_chooser.SMALL_FLEET_ROUTERS, loss=0.0
+    )
     chats = prompts.Chats(fleet.routers[0], by_owners=True)
     subject = ticket()
     await chats.placing.choose(subject)
@@ -349,12 +351,12 @@
 async def test_full_upstreams_are_skipped_until_one_has_capacity(
     chats, autojump_clock
 ):
-    places = chats.chooser.directory.candidates(world.SERVICE).places
+    places = chats.chooser.directory.candidates(world.SERVICE).rendezvous
     order = list(places.order('chat-1'))
     reserving = chats.placing.reservations
-    bound = chats.chooser.allowed(places.sample)
+    bound = chats.chooser.load_bound(places.sample)
     for name in order[:5]:
-        upstream = chats.placing.chooser.directory.known(name)
+        upstream = chats.placing.chooser.directory.find(name)
         for _ in range(bound):
             reply = await reserving.reserve(upstream, PROMPT, 5.0)
             assert reply is not None, (name, reserving.owners.members.far)
@@ -363,7 +365,7 @@
     chosen = await chats.placing.choose(ticket())
     assert chosen.upstream.instance == order[5]
     assert [skipped.reason for skipped in chosen.passed_over] == (
-        [choice.OVER_ITS_BOUND] * 5
+        [choice.OVER_BOUND] * 5
     )
 
 
