--- a/bench/fleet/measures.py
+++ b/bench/fleet/measures.py
@@ -132,7 +132,7 @@
     first.health.note_silent(INSTANCES[0])
     return await until_most(
         fleet,
-        lambda one: one.peers.facts.of(suspicions.SUSPECTED, INSTANCES[0]),
+        lambda one: one.peers.facts.current(suspicions.SUSPECTED, INSTANCES[0]),
     )
 
 
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -167,8 +167,8 @@
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
-        self.peers.on_learned[departures.LEFT] = self.departures.learn
-        self.budget = budget.RepeatBudget(REPEATS, self.peers.budget_parts)
+        self.peers.fact_callbacks[departures.LEFT] = self.departures.learn
+        self.budget = budget.RepeatBudget(REPEATS, self.peers.budget_divisor)
 
     def extra(self) -> float:
         """Returns the repeats that it may make without a request."""
--- a/lavenderbend/coordination/forwarding/__init__.py
+++ b/lavenderbend/coordination/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards any HTTP request by rule, with what routers share about it."""
+"""Rule-based HTTP request forwarding, and the state that routers share."""
--- a/lavenderbend/coordination/forwarding/crashes.py
+++ b/lavenderbend/coordination/forwarding/crashes.py
@@ -56,19 +56,19 @@
     )
 
 
-@facts_module.KINDS.register(DEATH)
-class Death(facts_module.Kind):
+@facts_module.FACT_KINDS.register(DEATH)
+class Death(facts_module.FactKind):
     """A request that an upstream died of; the source is the upstream."""
 
-    most_seconds = REMEMBER_SECONDS
+    max_seconds = REMEMBER_SECONDS
     cleared_by = CLEARED
 
 
-@facts_module.KINDS.register(CLEARED)
-class Cleared(facts_module.Kind):
+@facts_module.FACT_KINDS.register(CLEARED)
+class Cleared(facts_module.FactKind):
     """A request that ran to a good end."""
 
-    most_seconds = REMEMBER_SECONDS
+    max_seconds = REMEMBER_SECONDS
 
 
 @attrs.define(eq=False)
@@ -113,7 +113,7 @@
 
     def deaths(self, mark: int) -> list[str]:
         """Returns the upstreams that died of a request."""
-        found = self.facts.of(DEATH, subject_of(mark))
+        found = self.facts.current(DEATH, subject_of(mark))
         return sorted(one.source for one in found)
 
     def check(self, ticket: tickets.Ticket) -> None:
@@ -122,7 +122,7 @@
         Raises:
             RequestQuarantined: It is one.
         """
-        if not self.facts.has(DEATH):
+        if not self.facts.may_have(DEATH):
             return
         deaths = self.deaths(self.fingerprint(ticket))
         if len(deaths) < DEATHS_TO_STOP:
@@ -143,7 +143,7 @@
 
     def note_success(self, ticket: tickets.Ticket) -> None:
         """Clears a request that ran to a good end."""
-        if not self.facts.has(DEATH) and not self.losses:
+        if not self.facts.may_have(DEATH) and not self.losses:
             return
         mark = self.fingerprint(ticket)
         self.clear_losses(mark)
@@ -174,7 +174,7 @@
                 'request_stopped',
                 fingerprint=fact.subject,
                 upstreams=deaths,
-                age=round(trio.current_time() - fact.at, 3),
+                age=round(trio.current_time() - fact.found_at, 3),
             )
 
     def note_lost(
--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -25,19 +25,19 @@
 LIVE = upstreams.VmState.LIVE
 
 
-@facts_module.KINDS.register(LEFT)
-class SeenToLeave(facts_module.Kind):
+@facts_module.FACT_KINDS.register(LEFT)
+class SeenToLeave(facts_module.FactKind):
     """An upstream that leaves; the source is the revision that shows it."""
 
-    most_seconds = MOST_SECONDS
-    for_new = False
+    max_seconds = MOST_SECONDS
+    sent_to_started = False
 
 
-@facts_module.KINDS.register(LEAVING)
-class SaidToLeave(facts_module.Kind):
+@facts_module.FACT_KINDS.register(LEAVING)
+class SaidToLeave(facts_module.FactKind):
     """An upstream whose answers say that it leaves."""
 
-    most_seconds = MOST_SECONDS
+    max_seconds = MOST_SECONDS
 
 
 class Departures:
@@ -72,7 +72,7 @@
             if upstream.vm.state is not LIVE:
                 continue
             later = snapshot.upstreams.get(instance)
-            if later is None and instance not in self.followed.kept:
+            if later is None and instance not in self.followed.retained:
                 self.tell(upstream, snapshot.revision)
             elif later is not None and later.vm.state is not LIVE:
                 self.tell(upstream, later.revision)
@@ -80,7 +80,7 @@
 
     def tell(self, upstream: forwarding.Upstream, revision: int) -> None:
         """Tells that an upstream leaves, unless another router has."""
-        told = self.facts.of(LEFT, upstream.instance)
+        told = self.facts.current(LEFT, upstream.instance)
         if any(revision_of(fact) > upstream.revision for fact in told):
             return
         self.facts.add(LEFT, upstream.instance, str(revision), MOST_SECONDS)
@@ -99,7 +99,7 @@
         logs.change(
             'upstream_leaving',
             upstream=fact.subject,
-            told_after=round(trio.current_time() - fact.at, 3),
+            told_after=round(trio.current_time() - fact.found_at, 3),
             age=round(self.followed.age, 3),
         )
 
--- a/lavenderbend/coordination/forwarding/directory.py
+++ b/lavenderbend/coordination/forwarding/directory.py
@@ -81,7 +81,7 @@
     def take(self, snapshot: forwarding.Snapshot) -> None:
         """Orders the upstreams of a snapshot by service."""
         self.misplaced &= snapshot.upstreams.keys()
-        self.leaving.forget(snapshot, self.followed.kept)
+        self.leaving.forget(snapshot, self.followed.retained)
         before = self.by_service
         found: dict[str, list[forwarding.Upstream]] = {}
         for upstream in snapshot.upstreams.values():
@@ -105,7 +105,7 @@
         """
         current = self.followed.current
         known = current is None or current.revision >= revision
-        if known and instance not in self.followed.kept:
+        if known and instance not in self.followed.retained:
             # the own snapshot shows as much, or is yet to be read
             return False
         self.leaving.note_left(instance, revision)
@@ -124,7 +124,7 @@
 
     def drop(self, instance: str) -> bool:
         """Takes an upstream that leaves out; returns whether it was in."""
-        if instance in self.followed.kept:
+        if instance in self.followed.retained:
             return True
         for service, before in self.by_service.items():
             upstream = before.by_name.get(instance)
@@ -191,12 +191,12 @@
 
     def lapsed(self, service: str) -> list[forwarding.Upstream]:
         """Returns upstreams whose entries may be back soon."""
-        if not self.followed.kept:
+        if not self.followed.retained:
             return []
         now = self.followed.clock()
         return [
             upstream
-            for upstream, until in self.followed.kept.values()
+            for upstream, until in self.followed.retained.values()
             if until > now
             and upstream.vm.service == service
             and self.leaving.stays(upstream)
--- a/lavenderbend/coordination/forwarding/facts.py
+++ b/lavenderbend/coordination/forwarding/facts.py
@@ -1,4 +1,4 @@
-"""Single facts that all routers must know, told from one to the next."""
+"""Facts that every router of the fleet needs, spread by gossip."""
 
 from __future__ import annotations
 
@@ -16,239 +16,259 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-# of one fact by one router. Told by each that knows it to eight others drawn
-# at random, a router misses it with a chance of one in 3,000 at any size; what
-# is missed follows by the old facts in each message
-TELLINGS = 8
-# in one message
-MAX_FRESH = 6
-# after a cut, so many in each message bring the others up to date
-MAX_OLD = 1
-# a router that starts is told of the latest
-MAX_TOLD_TO_NEW = 6
-# a fact that comes again a little younger is the same one: ages leave out the
-# ways of the messages that told them
-SAME_SECONDS = 0.5
+# How often one router sends a fact. If each router that has a fact sends it to
+# eight others drawn at random, a router misses it with a probability of 1 in
+# 3,000 at any fleet size. It receives a missed fact later, among the old facts
+# that each message carries.
+SENDS_PER_FACT = 8
+MAX_NEW_PER_MESSAGE = 6
+# Old facts in each message bring routers up to date after a network partition.
+MAX_OLD_PER_MESSAGE = 1
+# Latest facts that a router gets when it starts.
+MAX_SENT_TO_STARTED = 6
+# A fact received again counts as the same one although it seems younger by up
+# to this much: ages do not include the transit times of messages.
+SAME_FACT_SECONDS = 0.5
 MAX_FACTS = 2000
-MILLISECONDS = 1000
+MILLISECONDS_PER_SECOND = 1000
 
-KNOWN = metrics.gauge(
+FACTS = metrics.gauge(
     'lavenderbend_forward_facts', 'Facts that are told to all routers.'
 )
 
 
-class Kind:
+class FactKind:
     """Base of the kinds of facts.
 
     Attributes:
-        most_seconds: No fact of the kind holds longer, whatever it says.
-        cleared_by: Kind of the facts that end all earlier ones on the same
-            subject, empty if there is none.
-        for_new: Whether a router that starts is told at once; not what its
-            first snapshot shows anyway, which would take the place of others.
+        max_seconds: Upper bound of a fact's validity, whatever the fact says.
+        cleared_by: Kind of the facts that end all earlier facts of this kind
+            on the same subject, empty if there is none.
+        sent_to_started: Whether a router that starts gets these facts at once.
+            False for what its first snapshot shows anyway, which would take
+            the place of other facts.
     """
 
-    most_seconds = 0.0
+    max_seconds = 0.0
     cleared_by = ''
-    for_new = True
+    sent_to_started = True
 
 
-KINDS: registry.Registry[type[Kind]] = registry.Registry('kind of fact')
+FACT_KINDS: registry.Registry[type[FactKind]] = registry.Registry(
+    'kind of fact'
+)
 
 
 @attrs.frozen
 class Fact:
-    """Something that one router found out.
+    """An observation of one router.
 
     Attributes:
         kind: Name of its kind.
         subject: What it is about.
-        source: What tells it from other facts on the subject.
-        at: Router clock at which it was found out.
-        seconds: How long it holds from then on.
+        source: Distinguishes it from other facts on the subject.
+        found_at: Router clock of the observation.
+        valid_seconds: Time from then on for which it is valid.
     """
 
     kind: str
     subject: str
     source: str
-    at: float
-    seconds: float
+    found_at: float
+    valid_seconds: float
 
     @property
-    def until(self) -> float:
-        """Router clock at which it ends."""
-        return self.at + self.seconds
+    def expires_at(self) -> float:
+        """Router clock at which it expires."""
+        return self.found_at + self.valid_seconds
 
 
 @attrs.define
-class Telling:
-    """A fact and how often it was told.
+class FactEntry:
+    """A fact and how often it was sent.
 
     Attributes:
         fact: The fact.
-        count: How often this router told it.
+        send_count: How often this router sent it.
     """
 
     fact: Fact
-    count: int = 0
+    send_count: int = 0
 
 
 class Facts:
-    """Facts that hold now.
+    """The facts that are valid now.
 
-    Taking one in is idempotent, and the order does not matter: of the same
-    fact the latest finding stays, and one that clears others ends those that
-    were found before it, whichever comes first. Messages may be lost, come
-    twice, or come late.
+    Merging is idempotent and does not depend on the order: of the same fact
+    the latest observation stays, and a fact that clears others ends those
+    observed before it, whichever arrives first. Messages may be lost,
+    duplicated or late.
 
     Attributes:
-        origin: What names this router's findings apart from others'.
-        learned: Called with each fact that is new here.
-        known: Facts by kind and subject, then by source.
-        spreading: Those that were not told often enough yet.
-        fresh: Set when there is something that was not told yet.
+        origin: Distinguishes this router's facts from those of others.
+        on_new_fact: Called with each fact that is new to this router.
+        entries: Facts by kind and subject, then by source.
+        unsent: Facts that were not sent `SENDS_PER_FACT` times yet.
+        old_queue: Old facts in the order in which they are sent again.
+        new_fact: Set when there is a fact that was not sent yet.
     """
 
-    def __init__(self, origin: str, learned: Callable[[Fact], None]) -> None:
+    def __init__(
+        self, origin: str, on_new_fact: Callable[[Fact], None]
+    ) -> None:
         self.origin = origin
-        self.learned = learned
-        self.known: dict[tuple[str, str], dict[str, Telling]] = {}
-        self.spreading: list[Telling] = []
-        self.old: collections.deque[Telling] = collections.deque()
-        self.fresh = trio.Event()
+        self.on_new_fact = on_new_fact
+        self.entries: dict[tuple[str, str], dict[str, FactEntry]] = {}
+        self.unsent: list[FactEntry] = []
+        self.old_queue: collections.deque[FactEntry] = collections.deque()
+        self.new_fact = trio.Event()
 
     def add(self, kind: str, subject: str, source: str, seconds: float) -> None:
-        """Adds what this router found out just now."""
+        """Adds an observation that this router has just made."""
         now = trio.current_time()
-        self.take(Fact(kind, subject, source, now, seconds))
+        self.merge(Fact(kind, subject, source, now, seconds))
 
-    def take_all(self, rows: Iterable[list[str | int]]) -> None:
-        """Takes in what another router tells."""
+    def merge_rows(self, rows: Iterable[list[str | int]]) -> None:
+        """Merges the facts of another router's message."""
         now = trio.current_time()
         for kind, subject, source, age, seconds in rows:
-            if kind not in KINDS.entries:
-                # a router of a later version knows kinds that this one does
-                # not
+            if kind not in FACT_KINDS.entries:
+                # A router of a later version has kinds that this one lacks.
                 continue
-            at = now - age / MILLISECONDS
-            held = seconds / MILLISECONDS
-            self.take(Fact(kind, subject, source, at, held))
-
-    def take(self, fact: Fact) -> None:
-        """Takes in a fact, unless it is known, over or cleared."""
-        kind = KINDS.get(fact.kind)
-        if fact.seconds > kind.most_seconds:
-            fact = attrs.evolve(fact, seconds=kind.most_seconds)
-        if fact.until <= trio.current_time() or self.is_cleared(fact, kind):
+            found_at = now - age / MILLISECONDS_PER_SECOND
+            valid_seconds = seconds / MILLISECONDS_PER_SECOND
+            self.merge(Fact(kind, subject, source, found_at, valid_seconds))
+
+    def merge(self, fact: Fact) -> None:
+        """Adds a fact unless it is already present, expired or cleared."""
+        kind = FACT_KINDS.get(fact.kind)
+        if fact.valid_seconds > kind.max_seconds:
+            fact = attrs.evolve(fact, valid_seconds=kind.max_seconds)
+        if fact.expires_at <= trio.current_time() or self.is_cleared(
+            fact, kind
+        ):
             return
-        found = self.known.setdefault((fact.kind, fact.subject), {})
-        known = found.get(fact.source)
-        if known is not None and fact.at <= known.fact.at + SAME_SECONDS:
+        by_source = self.entries.setdefault((fact.kind, fact.subject), {})
+        present = by_source.get(fact.source)
+        if (
+            present is not None
+            and fact.found_at <= present.fact.found_at + SAME_FACT_SECONDS
+        ):
             return
         self.clear_earlier(fact)
-        found[fact.source] = telling = Telling(fact)
-        self.spreading.append(telling)
-        self.fresh.set()
-        self.learned(fact)
+        by_source[fact.source] = entry = FactEntry(fact)
+        self.unsent.append(entry)
+        self.new_fact.set()
+        self.on_new_fact(fact)
 
-    def is_cleared(self, fact: Fact, kind: type[Kind]) -> bool:
+    def is_cleared(self, fact: Fact, kind: type[FactKind]) -> bool:
         """Returns whether a later fact has ended this one."""
-        clearing = self.known.get((kind.cleared_by, fact.subject), {})
-        return any(one.fact.at >= fact.at for one in clearing.values())
+        clearing = self.entries.get((kind.cleared_by, fact.subject), {})
+        return any(
+            entry.fact.found_at >= fact.found_at for entry in clearing.values()
+        )
 
     def clear_earlier(self, fact: Fact) -> None:
-        """Ends the facts that one clears."""
-        for name, kind in KINDS.entries.items():
+        """Removes the earlier facts that this one clears."""
+        for name, kind in FACT_KINDS.entries.items():
             if kind.cleared_by != fact.kind:
                 continue
-            found = self.known.get((name, fact.subject), {})
-            for source, one in list(found.items()):
-                if one.fact.at <= fact.at:
-                    del found[source]
+            by_source = self.entries.get((name, fact.subject), {})
+            for source, entry in list(by_source.items()):
+                if entry.fact.found_at <= fact.found_at:
+                    del by_source[source]
 
-    def of(self, kind: str, subject: str) -> list[Fact]:
-        """Returns the facts of a kind on a subject that hold now."""
+    def current(self, kind: str, subject: str) -> list[Fact]:
+        """Returns the facts of a kind on a subject that are valid now."""
         now = trio.current_time()
-        found = self.known.get((kind, subject), {})
-        return [one.fact for one in found.values() if one.fact.until > now]
+        by_source = self.entries.get((kind, subject), {})
+        return [
+            entry.fact
+            for entry in by_source.values()
+            if entry.fact.expires_at > now
+        ]
 
-    def has(self, kind: str) -> bool:
+    def may_have(self, kind: str) -> bool:
         """Returns whether there may be a fact of a kind."""
-        return any(name == kind for name, _ in self.known)
+        return any(name == kind for name, _ in self.entries)
 
-    def all(self) -> Iterator[Telling]:
-        """Yields all facts."""
-        for found in self.known.values():
-            yield from found.values()
+    def all_entries(self) -> Iterator[FactEntry]:
+        """Yields all facts, expired ones included."""
+        for by_source in self.entries.values():
+            yield from by_source.values()
 
-    def holds(self, telling: Telling) -> bool:
-        """Returns whether a fact was neither cleared nor replaced, nor ended.
+    def is_current(self, entry: FactEntry) -> bool:
+        """Returns whether a fact was not cleared, replaced or expired.
 
-        Lists of what is to be told may have one that was.
+        The lists of facts to send may contain such a fact.
         """
-        fact = telling.fact
-        found = self.known.get((fact.kind, fact.subject), {})
-        if found.get(fact.source) is not telling:
+        fact = entry.fact
+        by_source = self.entries.get((fact.kind, fact.subject), {})
+        if by_source.get(fact.source) is not entry:
             return False
-        return fact.until > trio.current_time()
-
-    def tidy(self) -> None:
-        """Forgets what is over, and the oldest if it is too much."""
-        kept = [one for one in self.all() if self.holds(one)]
-        kept.sort(key=lambda one: one.fact.at, reverse=True)
-        self.known = {}
-        for telling in kept[:MAX_FACTS]:
-            fact = telling.fact
-            found = self.known.setdefault((fact.kind, fact.subject), {})
-            found[fact.source] = telling
-        KNOWN.set({}, min(len(kept), MAX_FACTS))
-
-    def told(self) -> list[list[str | int]]:
-        """Returns what the next message tells, and counts it as told."""
-        tellings = [*self.next_fresh(), *self.next_old()]
-        for telling in tellings:
-            telling.count += 1
-        return [row(telling.fact) for telling in tellings]
-
-    def told_to_new(self) -> list[list[str | int]]:
-        """Returns what a router that starts is told."""
-        held = [
-            one.fact
-            for one in self.all()
-            if self.holds(one) and KINDS.get(one.fact.kind).for_new
+        return fact.expires_at > trio.current_time()
+
+    def prune(self) -> None:
+        """Removes expired facts, and the oldest above `MAX_FACTS`."""
+        valid = [
+            entry for entry in self.all_entries() if self.is_current(entry)
+        ]
+        valid.sort(key=lambda entry: entry.fact.found_at, reverse=True)
+        self.entries = {}
+        for entry in valid[:MAX_FACTS]:
+            fact = entry.fact
+            by_source = self.entries.setdefault((fact.kind, fact.subject), {})
+            by_source[fact.source] = entry
+        FACTS.set({}, min(len(valid), MAX_FACTS))
+
+    def next_rows(self) -> list[list[str | int]]:
+        """Returns the facts of the next message and counts them as sent."""
+        entries = [*self.next_new(), *self.next_old()]
+        for entry in entries:
+            entry.send_count += 1
+        return [fact_row(entry.fact) for entry in entries]
+
+    def rows_for_started(self) -> list[list[str | int]]:
+        """Returns the facts for a router that has just started."""
+        valid = [
+            entry.fact
+            for entry in self.all_entries()
+            if self.is_current(entry)
+            and FACT_KINDS.get(entry.fact.kind).sent_to_started
         ]
-        held.sort(key=lambda fact: fact.at, reverse=True)
-        return [row(fact) for fact in held[:MAX_TOLD_TO_NEW]]
+        valid.sort(key=lambda fact: fact.found_at, reverse=True)
+        return [fact_row(fact) for fact in valid[:MAX_SENT_TO_STARTED]]
 
-    def next_fresh(self) -> list[Telling]:
-        """Returns the facts that were told least."""
-        if not self.spreading:
+    def next_new(self) -> list[FactEntry]:
+        """Returns the facts that were sent least often."""
+        if not self.unsent:
             return []
-        if self.fresh.is_set():
-            # not while it is waited for: the waiter would miss what comes
-            self.fresh = trio.Event()
-        self.spreading = [
-            one
-            for one in self.spreading
-            if one.count < TELLINGS and self.holds(one)
+        if self.new_fact.is_set():
+            # Replaced only once it is set: a task that waits for an unset
+            # event would miss the next fact.
+            self.new_fact = trio.Event()
+        self.unsent = [
+            entry
+            for entry in self.unsent
+            if entry.send_count < SENDS_PER_FACT and self.is_current(entry)
         ]
-        self.spreading.sort(key=lambda one: one.count)
-        return self.spreading[:MAX_FRESH]
-
-    def next_old(self) -> list[Telling]:
-        """Returns the old facts whose turn it is."""
-        if not self.old:
-            self.old.extend(self.all())
-        found: list[Telling] = []
-        while self.old and len(found) < MAX_OLD:
-            telling = self.old.popleft()
-            if telling.count >= TELLINGS and self.holds(telling):
-                found.append(telling)
-        return found
-
-
-def row(fact: Fact) -> list[str | int]:
-    """Returns a fact as a message holds it."""
-    age = round((trio.current_time() - fact.at) * MILLISECONDS)
-    seconds = round(fact.seconds * MILLISECONDS)
-    return [fact.kind, fact.subject, fact.source, age, seconds]
+        self.unsent.sort(key=lambda entry: entry.send_count)
+        return self.unsent[:MAX_NEW_PER_MESSAGE]
+
+    def next_old(self) -> list[FactEntry]:
+        """Returns the next old facts in turn."""
+        if not self.old_queue:
+            self.old_queue.extend(self.all_entries())
+        chosen: list[FactEntry] = []
+        while self.old_queue and len(chosen) < MAX_OLD_PER_MESSAGE:
+            entry = self.old_queue.popleft()
+            if entry.send_count >= SENDS_PER_FACT and self.is_current(entry):
+                chosen.append(entry)
+        return chosen
+
+
+def fact_row(fact: Fact) -> list[str | int]:
+    """Returns a fact as a row of a message, with times in milliseconds."""
+    age = round((trio.current_time() - fact.found_at) * MILLISECONDS_PER_SECOND)
+    valid_milliseconds = round(fact.valid_seconds * MILLISECONDS_PER_SECOND)
+    return [fact.kind, fact.subject, fact.source, age, valid_milliseconds]
--- a/lavenderbend/coordination/forwarding/fleet_count.py
+++ b/lavenderbend/coordination/forwarding/fleet_count.py
@@ -1,4 +1,4 @@
-"""How many routers there are, and by how many what they share is divided."""
+"""Router count of the fleet, and the divisor of limits that it shares."""
 
 from __future__ import annotations
 
@@ -11,41 +11,42 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# a zone that nothing was heard of for so long is cut off or gone
-ZONE_SECONDS = 10.0
-# regions lose each other for minutes; those who cannot see each other must
-# not divide among fewer meanwhile
-HOLD_SECONDS = 300.0
-# while routers find each other, each counts more every moment
-SETTLE_SECONDS = 3.0
-# one router that joins many takes no part from them
-SMALL_GROWTH = 1.1
-MILLISECONDS = 1000
+# A zone without a count for this long is partitioned or gone.
+ZONE_COUNT_SECONDS = 10.0
+# Regions lose contact for minutes. Routers that cannot reach each other must
+# not divide a limit by a smaller number meanwhile.
+PEAK_SECONDS = 300.0
+# While routers discover each other, the count of each grows continuously.
+GROWTH_SECONDS = 3.0
+# Up to this growth the divisor is used: one router that joins many does not
+# take their shares from them.
+MAX_STABLE_GROWTH_RATIO = 1.1
+MILLISECONDS_PER_SECOND = 1000
 
 
 @attrs.frozen
 class ZoneCount:
-    """How many routers a zone had.
+    """Router count of an availability zone.
 
     Attributes:
-        routers: Their number.
-        at: Router clock at which it was counted there.
+        routers: Number of routers.
+        counted_at: Router clock at which they were counted in that zone.
     """
 
     routers: int
-    at: float
+    counted_at: float
 
 
 class FleetCount:
-    """Routers by availability zone.
+    """Number of routers by availability zone.
 
-    Routers of a zone count each other and tell the other zones only their
-    number: what passes between zones does not grow with them. The latest
+    The routers of a zone count each other and send other zones only the
+    number, so that traffic between zones does not grow with them. The latest
     count of a zone wins.
 
     Attributes:
         zone: This router's zone.
-        counts: By zone.
+        counts: Latest count by zone.
     """
 
     def __init__(self, zone: str) -> None:
@@ -53,54 +54,63 @@
         self.counts: dict[str, ZoneCount] = {}
 
     def note(self, zone: str, routers: int, age: float = 0.0) -> None:
-        """Notes how many a zone had so many seconds ago."""
-        at = trio.current_time() - age
-        known = self.counts.get(zone)
-        if known is None or at > known.at:
-            self.counts[zone] = ZoneCount(routers, at)
-
-    def take(self, rows: Iterable[list]) -> None:
-        """Takes in what another router tells of other zones."""
+        """Records a zone's router count from `age` seconds ago."""
+        counted_at = trio.current_time() - age
+        previous = self.counts.get(zone)
+        if previous is None or counted_at > previous.counted_at:
+            self.counts[zone] = ZoneCount(routers, counted_at)
+
+    def merge(self, rows: Iterable[list]) -> None:
+        """Merges another router's counts of zones other than this one."""
         for zone, routers, age in rows:
             if zone != self.zone:
-                self.note(zone, routers, age / MILLISECONDS)
+                self.note(zone, routers, age / MILLISECONDS_PER_SECOND)
 
-    def told(self) -> list[list[str | int]]:
-        """Returns what others are told."""
+    def gossip_rows(self) -> list[list[str | int]]:
+        """Returns the counts for a message, with ages in milliseconds."""
         now = trio.current_time()
         return [
-            [zone, one.routers, round((now - one.at) * MILLISECONDS)]
-            for zone, one in self.known().items()
+            [
+                zone,
+                count.routers,
+                round((now - count.counted_at) * MILLISECONDS_PER_SECOND),
+            ]
+            for zone, count in self.recent().items()
         ]
 
-    def known(self) -> dict[str, ZoneCount]:
-        """Returns the zones that were heard of lately."""
-        oldest = trio.current_time() - ZONE_SECONDS
+    def recent(self) -> dict[str, ZoneCount]:
+        """Returns the counts younger than `ZONE_COUNT_SECONDS`, by zone."""
+        oldest = trio.current_time() - ZONE_COUNT_SECONDS
         return {
-            zone: one for zone, one in self.counts.items() if one.at >= oldest
+            zone: count
+            for zone, count in self.counts.items()
+            if count.counted_at >= oldest
         }
 
     def size(self) -> int:
-        """Returns how many routers there are."""
-        return sum(one.routers for one in self.known().values())
+        """Returns the number of routers in all zones."""
+        return sum(count.routers for count in self.recent().values())
 
 
-class FleetBound:
-    """By how many routers a limit of the whole fleet is divided.
+class FleetDivisor:
+    """Number of routers by which a limit of the whole fleet is divided.
 
-    Too small a number lets the fleet pass its limit; too large a one only
-    leaves a part of it unused. So the number is 0, for no part at all, until
-    the count has hardly grown for a while, and afterwards the most that was
-    counted in some minutes. Routers that died or are cut off count on for
-    that long; those that start are told of it by others.
+    Too small a number lets the fleet exceed its limit; too large a number only
+    leaves a part of it unused. The divisor is therefore 0, meaning no share at
+    all, until the count has hardly grown for `GROWTH_SECONDS`, and afterwards
+    the highest count of the last `PEAK_SECONDS`. Routers that died or were
+    partitioned still count for that long; routers that start get this peak
+    from others.
 
-    The sum of all parts holds at any size for all that were counted, or told
-    of it, before a cut. Routers that start while they can reach but few
-    others, and none that knows better, divide by those few.
+    The sum of all shares stays within the limit, at any fleet size, for all
+    routers that were counted, or received the count, before a partition.
+    Routers that start while they can reach only a few others, none of which
+    has a higher count, divide by those few.
 
     Attributes:
-        peaks: Counts that no later one reached, and when each was noted.
-        growths: When the most grew lately, and what it was before.
+        peaks: Counts that no later count reached, with their times.
+        growths: Times within `GROWTH_SECONDS` at which the peak grew, with the
+            peak before.
     """
 
     def __init__(self) -> None:
@@ -108,27 +118,27 @@
         self.growths: collections.deque[tuple[float, int]] = collections.deque()
 
     def note(self, size: int) -> None:
-        """Notes how many routers are counted now, or were by another."""
+        """Records a count, made now or received from another router."""
         now = trio.current_time()
-        most = self.most()
-        if size > most:
-            self.growths.append((now, most))
+        peak = self.peak()
+        if size > peak:
+            self.growths.append((now, peak))
         while self.peaks and self.peaks[-1][1] <= size:
             self.peaks.pop()
         self.peaks.append((now, size))
-        while self.peaks[0][0] < now - HOLD_SECONDS:
+        while self.peaks[0][0] < now - PEAK_SECONDS:
             self.peaks.popleft()
 
-    def most(self) -> int:
-        """Returns the most that was counted lately, 0 for nothing."""
+    def peak(self) -> int:
+        """Returns the highest recent count, 0 if there is none."""
         return self.peaks[0][1] if self.peaks else 0
 
-    def parts(self) -> int:
-        """Returns by how many to divide, 0 for no part."""
-        oldest = trio.current_time() - SETTLE_SECONDS
+    def divisor(self) -> int:
+        """Returns the number to divide by, 0 for no share."""
+        oldest = trio.current_time() - GROWTH_SECONDS
         while self.growths and self.growths[0][0] < oldest:
             self.growths.popleft()
-        most = self.most()
-        if self.growths and most > SMALL_GROWTH * self.growths[0][1]:
+        peak = self.peak()
+        if self.growths and peak > MAX_STABLE_GROWTH_RATIO * self.growths[0][1]:
             return 0
-        return most
+        return peak
--- a/lavenderbend/coordination/forwarding/members.py
+++ b/lavenderbend/coordination/forwarding/members.py
@@ -1,4 +1,4 @@
-"""The other routers that a forwarding router knows."""
+"""The other routers that a forwarding router has learned of."""
 
 from __future__ import annotations
 
@@ -17,34 +17,36 @@
 
     from lavenderbend.protocol import messages_forwarding
 
-# hosts that do not answer are forgotten after this
-FORGET_SECONDS = 60.0
-# few routers of other zones are spoken to, each of them now and then
-FAR_ALIVE_SECONDS = 20.0
-# known of each other zone: enough that some live when half of a fleet dies
-MAX_FAR = 16
-# one that was heard so lately is alive, as far as can be known
-FAR_FRESH_SECONDS = 3.0
-# of these, the latest heard are spoken to
-FAR_CHOICE = 8
-# hosts of one zone that another router is told of
-MAX_HOSTS_TOLD = 3
-MAX_ZONES_TOLD = 4
-TOLD_SECONDS = 7.0
+# Hosts that do not answer for this long are removed.
+EXPIRY_SECONDS = 60.0
+# Only a few routers of other zones get messages, and each of them only
+# occasionally, so their silence is allowed to last longer.
+OTHER_ZONE_ALIVE_SECONDS = 20.0
+# Enough that some are still alive when half of a fleet dies.
+MAX_HOSTS_PER_OTHER_ZONE = 16
+# A host seen this recently is taken to be alive.
+OTHER_ZONE_RECENT_SECONDS = 3.0
+# Receivers in another zone are drawn from this many most recently seen hosts.
+OTHER_ZONE_CANDIDATES = 8
+# Hosts of one zone in a message to another router.
+MAX_HOSTS_PER_ZONE_ROW = 3
+MAX_ZONE_ROWS = 4
+MAX_SENT_AGE_SECONDS = 7.0
 
 
 @attrs.define
 class Member:
-    """Another router, as its last message said.
+    """Another router, as of its last message.
 
     Attributes:
-        host: Its IP number.
+        host: Its IP address.
         name: Its name.
         zone: Its availability zone.
         incarnation: Of its process.
-        heard_at: Router clock of that message.
-        sent_at: Its own clock of that message.
-        heard_by: Suspension clock of that message's arrival.
+        received_at: Router clock at which the message arrived.
+        sent_at: Suspension clock of the sender when it sent the message.
+        received_at_suspension_clock: Suspension clock of this router at which
+            the message arrived.
         leaving: Whether it is stopping.
     """
 
@@ -52,24 +54,24 @@
     name: str
     zone: str
     incarnation: int
-    heard_at: float
+    received_at: float
     sent_at: float
-    heard_by: float
+    received_at_suspension_clock: float
     leaving: bool
 
 
 class Members:
-    """Other routers: all of the own zone, some of the other zones.
+    """Other routers: all of this router's zone, some of the other zones.
 
     Attributes:
         host: This router's own host.
         zone: Its availability zone.
-        seeds: Hosts that are asked until they are heard.
+        seeds: Configured hosts, probed until a message from them arrives.
         clock: The suspension clock.
-        near: The routers of the own zone.
-        far: Router clock at which some of the others were alive, by zone
-            and host.
-        by_host: Those that this router had a message of.
+        own_zone: The routers of this router's zone.
+        other_zones: Router clock at which some routers of the other zones were
+            last seen alive, by zone and host.
+        by_host: Routers of which a message has arrived.
     """
 
     def __init__(
@@ -83,27 +85,33 @@
         self.zone = zone
         self.seeds = [seed for seed in seeds if seed != host]
         self.clock = clock
-        self.near = zone_members.ZoneMembers(host)
-        self.far: dict[str, dict[str, float]] = {}
+        self.own_zone = zone_members.ZoneMembers(host)
+        self.other_zones: dict[str, dict[str, float]] = {}
         self.by_host: dict[str, Member] = {}
 
     def get(self, host: str) -> Member | None:
-        """Returns a router that was heard, None if it was not."""
+        """Returns a router, None if no message of it has arrived."""
         return self.by_host.get(host)
 
     def is_alive(self, member: Member) -> bool:
-        """Returns whether a router gave a sign of life lately."""
+        """Returns whether a router was seen alive recently."""
         now = trio.current_time()
         if member.zone == self.zone:
-            at = self.near.heard.get(member.host, member.heard_at)
-            return now - at < zone_members.HEARD_SECONDS
-        return now - member.heard_at < FAR_ALIVE_SECONDS
+            seen_at = self.own_zone.last_seen.get(
+                member.host, member.received_at
+            )
+            return now - seen_at < zone_members.ALIVE_SECONDS
+        return now - member.received_at < OTHER_ZONE_ALIVE_SECONDS
 
     def note(self, state: messages_forwarding.RouterState) -> bool:
-        """Notes that a router is alive; returns whether it is new."""
-        known = self.by_host.get(state.host)
-        new = known is None or known.incarnation != state.incarnation
-        if not new and known.sent_at > state.sent_at:
+        """Records the sender of a message as alive.
+
+        Returns:
+            Whether the sender, or its incarnation, is new.
+        """
+        member = self.by_host.get(state.host)
+        new = member is None or member.incarnation != state.incarnation
+        if not new and member.sent_at > state.sent_at:
             return False
         self.by_host[state.host] = Member(
             state.host,
@@ -115,108 +123,124 @@
             self.clock(),
             state.leaving,
         )
-        self.note_alive(state)
+        self.note_sender(state)
         return new
 
-    def note_alive(self, state: messages_forwarding.RouterState) -> None:
-        """Notes where a router that was heard can be found."""
+    def note_sender(self, state: messages_forwarding.RouterState) -> None:
+        """Records the host of a message's sender, by its zone."""
         if state.zone == self.zone:
             if state.leaving:
-                self.near.drop(state.host)
+                self.own_zone.remove(state.host)
             else:
-                self.near.note(state.host)
+                self.own_zone.note(state.host)
         elif not state.leaving:
-            self.learn(state.zone, state.host, 0.0)
+            self.note_host(state.zone, state.host, 0.0)
 
-    def learn(self, zone: str, host: str, age: float) -> None:
-        """Notes a host that was alive so many seconds ago."""
+    def note_host(self, zone: str, host: str, age: float) -> None:
+        """Records that a host was alive `age` seconds ago."""
         if host == self.host:
             return
         if zone == self.zone:
-            self.near.note(host, age)
+            self.own_zone.note(host, age)
             return
-        at = trio.current_time() - age
-        known = self.far.setdefault(zone, {})
-        known[host] = max(at, known.get(host, at))
-        if len(known) > MAX_FAR:
-            del known[min(known, key=known.__getitem__)]
-
-    def learn_all(self, rows: Iterable[list[str | bytes]]) -> None:
-        """Notes hosts that another router told of."""
+        seen_at = trio.current_time() - age
+        hosts = self.other_zones.setdefault(zone, {})
+        hosts[host] = max(seen_at, hosts.get(host, seen_at))
+        if len(hosts) > MAX_HOSTS_PER_OTHER_ZONE:
+            del hosts[min(hosts, key=hosts.__getitem__)]
+
+    def merge_hosts(self, rows: Iterable[list[str | bytes]]) -> None:
+        """Merges the hosts of another router's message."""
         for zone, packed in rows:
             for host, age in packed_rows.unpack_heard(packed):
-                self.learn(zone, host, age)
+                self.note_host(zone, host, age)
 
-    def told(
+    def host_rows(
         self, rng: random.Random, zone: str, new: bool
     ) -> list[list[str | bytes]]:
-        """Returns hosts that a router is told of.
+        """Returns the hosts of other zones for a message to a router.
 
-        Those of this router's own zone are told of with their signs of life.
+        The hosts of this router's own zone are sent with the times at which
+        they were last seen, in another field of the message.
 
         Args:
             rng: Draws zones if there are many.
-            zone: Its zone.
-            new: Whether it has yet to find its neighbours.
+            zone: Zone of the receiver.
+            new: Whether the receiver has yet to discover the routers of its
+                zone.
         """
-        others = sorted(self.far.keys() - {zone})
-        if len(others) > MAX_ZONES_TOLD:
-            others = rng.sample(others, MAX_ZONES_TOLD)
+        others = sorted(self.other_zones.keys() - {zone})
+        if len(others) > MAX_ZONE_ROWS:
+            others = rng.sample(others, MAX_ZONE_ROWS)
         rows: list[list[str | bytes]] = [
-            [name, self.packed_far(name, MAX_HOSTS_TOLD)] for name in others
+            [name, self.packed_hosts(name, MAX_HOSTS_PER_ZONE_ROW)]
+            for name in others
         ]
-        if new and zone in self.far:
-            rows.append([zone, self.packed_far(zone, MAX_FAR)])
+        if new and zone in self.other_zones:
+            rows.append(
+                [zone, self.packed_hosts(zone, MAX_HOSTS_PER_OTHER_ZONE)]
+            )
         return rows
 
-    def packed_far(self, zone: str, count: int) -> bytes:
-        """Returns routers of another zone that were alive just now.
+    def packed_hosts(self, zone: str, count: int) -> bytes:
+        """Returns routers of another zone that were seen recently, packed.
 
-        Not those that were alive longer ago than a packed age can say: a
-        router that died would be told of for ever.
+        Leaves out those that were seen longer ago than a packed age can
+        express: routers would send each other a dead router for ever.
         """
         now = trio.current_time()
-        known = self.far[zone]
-        ages = {host: now - known[host] for host in self.latest(known)[:count]}
+        hosts = self.other_zones[zone]
+        ages = {
+            host: now - hosts[host] for host in self.by_recency(hosts)[:count]
+        }
         return packed_rows.pack_heard(
-            (host, age) for host, age in ages.items() if age < TOLD_SECONDS
+            (host, age)
+            for host, age in ages.items()
+            if age < MAX_SENT_AGE_SECONDS
         )
 
-    def latest(self, known: dict[str, float]) -> list[str]:
-        """Returns hosts of a zone, the latest heard first."""
-        return sorted(known, key=known.__getitem__, reverse=True)
+    def by_recency(self, hosts: dict[str, float]) -> list[str]:
+        """Returns the hosts of a zone, the most recently seen first."""
+        return sorted(hosts, key=hosts.__getitem__, reverse=True)
 
-    def choose_far(self, rng: random.Random, zone: str) -> str | None:
-        """Returns a router of another zone to speak to, None if none is."""
-        known = self.far.get(zone)
-        if not known:
+    def choose_in_zone(self, rng: random.Random, zone: str) -> str | None:
+        """Returns a receiver in another zone, None if no host is known."""
+        hosts = self.other_zones.get(zone)
+        if not hosts:
             return None
-        one, other = rng.choices(self.latest(known)[:FAR_CHOICE], k=2)
-        if trio.current_time() - known[one] < FAR_FRESH_SECONDS:
-            return one
-        # when many die at once, messages soon go to those that live
-        return max(one, other, key=known.__getitem__)
+        first, second = rng.choices(
+            self.by_recency(hosts)[:OTHER_ZONE_CANDIDATES], k=2
+        )
+        if trio.current_time() - hosts[first] < OTHER_ZONE_RECENT_SECONDS:
+            return first
+        # The more recently seen of two: when many routers die at once,
+        # messages soon go to those that are alive.
+        return max(first, second, key=hosts.__getitem__)
 
     def silent_hosts(self) -> list[str]:
-        """Returns hosts that were not heard lately, seeds among them."""
-        oldest = trio.current_time() - FAR_ALIVE_SECONDS
-        silent = {*self.seeds, *self.near.silent()}
-        for known in self.far.values():
-            silent.update(host for host, at in known.items() if at < oldest)
+        """Returns hosts that were not seen recently, seeds included."""
+        oldest = trio.current_time() - OTHER_ZONE_ALIVE_SECONDS
+        silent = {*self.seeds, *self.own_zone.silent()}
+        for hosts in self.other_zones.values():
+            silent.update(
+                host for host, seen_at in hosts.items() if seen_at < oldest
+            )
         alive = [
             member.host
             for member in self.by_host.values()
             if self.is_alive(member)
         ]
-        return sorted(silent.difference(alive, self.near.alive()))
-
-    def forget_old(self) -> None:
-        """Forgets hosts that have not answered for long."""
-        oldest = trio.current_time() - FORGET_SECONDS
-        self.near.forget(FORGET_SECONDS)
-        for known in self.far.values():
-            for host in [one for one, at in known.items() if at < oldest]:
-                del known[host]
+        return sorted(silent.difference(alive, self.own_zone.alive()))
+
+    def remove_expired(self) -> None:
+        """Removes hosts that have not answered for `EXPIRY_SECONDS`."""
+        oldest = trio.current_time() - EXPIRY_SECONDS
+        self.own_zone.remove_expired(EXPIRY_SECONDS)
+        for hosts in self.other_zones.values():
+            for host in [
+                name for name, seen_at in hosts.items() if seen_at < oldest
+            ]:
+                del hosts[host]
         for host, member in list(self.by_host.items()):
-            if member.heard_at < oldest:
+            if member.received_at < oldest:
                 del self.by_host[host]
--- a/lavenderbend/coordination/forwarding/owners.py
+++ b/lavenderbend/coordination/forwarding/owners.py
@@ -54,7 +54,7 @@
 
     def own_of_zone(self, upstream: int) -> str:
         """Returns the owner of an upstream of this router's zone."""
-        hosts = {self.host, *self.members.near.alive()}
+        hosts = {self.host, *self.members.own_zone.alive()}
         return hashing.rendezvous(f'{upstream:08x}', hosts)
 
     def owning_zone(self, upstream: int, zone: str) -> str:
@@ -64,7 +64,7 @@
             upstream: Its short id.
             zone: Its availability zone, which may have no routers.
         """
-        zones = {self.zone, *self.count.known()}
+        zones = {self.zone, *self.count.recent()}
         if zone in zones:
             return zone
         return hashing.rendezvous(f'{upstream:08x}', zones)
@@ -77,7 +77,7 @@
         else:
             host = self.known.get(upstream)
             if host is None or self.is_silent(host):
-                host = self.members.choose_far(self.rng, owning)
+                host = self.members.choose_in_zone(self.rng, owning)
         if host is None or self.is_silent(host):
             return None
         return host
--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -1,4 +1,4 @@
-"""Routers that tell each other what they know."""
+"""Exchange of state between routers by gossip."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lavenderbend.coordination.forwarding import members as members_module
 from lavenderbend.coordination.forwarding import owners
 from lavenderbend.coordination.forwarding import prompt_holders
-from lavenderbend.coordination.forwarding import reading_turns
+from lavenderbend.coordination.forwarding import read_order
 from lavenderbend.coordination.forwarding import reservations
 from lavenderbend.coordination.forwarding import shared_freshness
 from lavenderbend.coordination.forwarding import shared_loads
@@ -27,38 +27,42 @@
 
     from lavenderbend.coordination.forwarding import interfaces
     from lavenderbend.coordination.forwarding import loads as loads_module
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.protocol import peer
 
-# loads change within a tenth of a second or two
-TICK_SECONDS = 0.2
-# of a router that has just started
-YOUNG_TICK_SECONDS = 0.1
-START_SECONDS = 3.0
-# a router speaks to so many of its zone at each tick, however many there are
-NEAR_FAN_OUT = 2
-# of a whole zone to the other zones: bytes between zones are dear, and what
-# one router of a zone hears the others hear from it
-ZONE_FAR_PER_SECOND = 10.0
-# while routers of the zone come or go, the other zones are told more often
-HURRIED_FAR_PER_SECOND = 40.0
-HURRY_SECONDS = 1.5
-ZONE_CHANGE = 0.04
-# what was found out just now goes on within this time
-FRESH_SECONDS = 0.05
-# a router that read the store tells so many of its zone, and one of each other
+# Loads change within one or two tenths of a second.
+GOSSIP_INTERVAL_SECONDS = 0.2
+# For a router that has just started.
+STARTUP_INTERVAL_SECONDS = 0.1
+STARTUP_SECONDS = 3.0
+# Receivers in the own zone per gossip interval, at any number of routers.
+OWN_ZONE_FAN_OUT = 2
+# Of all routers of a zone together to the other zones: traffic between zones is
+# expensive, and what one router of a zone receives it sends to the others.
+OTHER_ZONE_MESSAGES_PER_SECOND = 10.0
+# Rate while the number of routers in the zone changes.
+CHANGED_ZONE_MESSAGES_PER_SECOND = 40.0
+CHANGED_ZONE_SECONDS = 1.5
+ZONE_CHANGE_FRACTION = 0.04
+# New facts are sent within this time.
+NEW_FACT_DELAY_SECONDS = 0.05
+# A router that has read the store sends the proof to this many routers of its
+# zone, and to one of each other zone.
 PROOF_FAN_OUT = 4
 MAX_PROOF_ZONES = 6
-# one that is fresher by so much than before tells others at once
-PASS_ON_FAN_OUT = 3
-PASS_ON_SECONDS = 0.3
-# hosts that do not answer are asked this often
-KNOCK_SECONDS = 1.0
-KNOCK_FAN_OUT = 4
-# for which a router that starts takes over what others counted before
-LEARN_BOUND_SECONDS = 10.0
-# a line on the size of the fleet is written when it differs by this part
-SIZE_CHANGE = 0.1
+# A router whose proof of freshness became newer by more than
+# `RELAY_GAIN_SECONDS` sends it at once to this many others.
+RELAY_FAN_OUT = 3
+RELAY_GAIN_SECONDS = 0.3
+# Hosts that do not answer are probed at this interval.
+PROBE_INTERVAL_SECONDS = 1.0
+PROBE_FAN_OUT = 4
+# After its start a router merges the peak counts of others for this time.
+MERGE_COUNT_SECONDS = 10.0
+# The size of the fleet is logged when it differs by more than this fraction.
+SIZE_CHANGE_FRACTION = 0.1
 
 DATAGRAMS = metrics.counter(
     'lavenderbend_forward_peer_messages_total',
@@ -67,7 +71,7 @@
 SIZE = metrics.gauge(
     'lavenderbend_forward_routers', 'Routers of the fleet, as counted here.'
 )
-BOUND = metrics.gauge(
+DIVISOR = metrics.gauge(
     'lavenderbend_forward_routers_bound',
     'Routers by which what the fleet may repeat is divided, 0 for no part.',
 )
@@ -76,26 +80,29 @@
 class Peers:
     """Exchanges messages with other routers.
 
-    Messages may be lost: each says what its sender knows now. What a router
-    sends, and what one message holds, does not grow with the fleet; what it
-    tells few others is told on by them. Within a zone routers speak often,
-    between zones each zone speaks at one rate, whatever its size.
+    Messages may be lost: each contains the present state of its sender.
+    Neither the number of messages that a router sends nor their size grows
+    with the fleet; the few receivers relay the content. Routers of one zone
+    exchange messages often; between zones each zone sends at one rate,
+    whatever its number of routers.
 
     Attributes:
         name: This router.
-        host: Its IP number.
+        host: Its IP address.
         zone: Its availability zone.
         members: Other routers.
-        count: How many there are.
-        bound: By how many to divide what the fleet shares.
-        facts: Single facts that all must know.
-        owners: Finds who owns an upstream.
-        reservations: Asks them, and answers as one of them.
-        handlers: What takes each kind of message.
-        freshness: Takes over what others know of the store.
-        loads: Tells of loads on the upstreams.
-        prompts: Knows who holds prompts that places do not tell of.
-        link: Carries messages to other routers.
+        fleet: Number of routers.
+        divisor: Number by which limits of the fleet are divided.
+        facts: Facts that all routers need.
+        fact_callbacks: Called with a new fact, by the fact's kind.
+        owners: Finds the owners of upstreams.
+        reservations: Requests reservations from owners and grants them as an
+            owner.
+        handlers: Handler by type of message.
+        freshness: Takes over proofs and snapshots from other routers.
+        loads: Shares the loads of upstreams.
+        prompts: Upstreams that hold prompts beside those chosen by hashing.
+        link: Sends messages to other routers.
     """
 
     def __init__(
@@ -104,7 +111,7 @@
         host: str,
         zone: str,
         seeds: Iterable[str],
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         loads: loads_module.Loads,
         link: interfaces.DatagramLink,
         rng: random.Random,
@@ -112,23 +119,25 @@
         self.name = name
         self.host = host
         self.zone = zone
-        self.followed = followed
-        self.loads = shared_loads.SharedLoads(followed, loads)
+        self.snapshots = snapshots
+        self.loads = shared_loads.SharedLoads(snapshots, loads)
         self.link = link
         self.rng = rng
         self.incarnation = rng.getrandbits(48)
-        self.members = members_module.Members(host, zone, seeds, followed.clock)
-        self.count = fleet_count.FleetCount(zone)
-        self.bound = fleet_count.FleetBound()
+        self.members = members_module.Members(
+            host, zone, seeds, snapshots.clock
+        )
+        self.fleet = fleet_count.FleetCount(zone)
+        self.divisor = fleet_count.FleetDivisor()
         self.prompts = prompt_holders.PromptHolders()
         self.facts = facts_module.Facts(host, self.on_fact)
-        self.on_learned: dict[str, Callable[[facts_module.Fact], None]] = {}
+        self.fact_callbacks: dict[str, Callable[[facts_module.Fact], None]] = {}
         self.freshness = shared_freshness.SharedFreshness(
-            self.incarnation, followed, link, zone
+            self.incarnation, snapshots, link, zone
         )
         self.freshness.zone_size = self.zone_size
-        self.freshness.fetched = self.pass_on
-        self.owners = owners.Owners(host, zone, self.members, self.count, rng)
+        self.freshness.on_fetched = self.relay
+        self.owners = owners.Owners(host, zone, self.members, self.fleet, rng)
         self.reservations = reservations.Reservations(
             host, self.owners, link, rng
         )
@@ -142,171 +151,190 @@
         }
         self.leaving = False
         self.started = math.inf
-        self.told_size = 0
-        self.steady_size = 0
-        self.hurry_until = 0.0
-        followed.reading_place = self.reading_place
-        followed.on_proof.append(self.tell_proof)
+        self.logged_size = 0
+        self.last_zone_size = 0
+        self.frequent_until = 0.0
+        snapshots.read_position = self.read_position
+        snapshots.on_proof.append(self.send_proof)
         link.receiver = self.on_message
 
     def fleet_size(self) -> int:
-        """Returns how many routers were alive lately, this one included."""
-        return max(1, self.count.size())
+        """Returns the number of live routers, this one included."""
+        return max(1, self.fleet.size())
 
-    def budget_parts(self) -> int:
-        """Returns by how many the fleet's budget is divided, 0 for no part.
+    def budget_divisor(self) -> int:
+        """Returns the divisor of the fleet's retry budget, 0 for no share.
 
-        A router that has found none of those that its settings name cannot
-        know how many there are.
+        A router that has reached none of its configured seeds cannot know the
+        size of the fleet.
         """
-        parts = self.bound.parts()
-        if parts <= 1 and self.members.seeds:
+        divisor = self.divisor.divisor()
+        if divisor <= 1 and self.members.seeds:
             return 0
-        return parts
+        return divisor
 
-    def reading_place(self) -> int:
-        """Returns this router's place in the order of who reads the store."""
-        return reading_turns.place(
+    def read_position(self) -> int:
+        """Returns this router's position in the order of store reads."""
+        return read_order.position(
             self.host,
-            self.members.near.alive(),
+            self.members.own_zone.alive(),
             self.zone,
-            self.count.known(),
+            self.fleet.recent(),
         )
 
     async def run(self) -> None:
-        """Sends messages at their times, and fetches what peers have."""
+        """Sends periodic messages and fetches newer snapshots from peers."""
         self.started = trio.current_time()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.freshness.run)
-            nursery.start_soon(self.run_facts)
-            nursery.start_soon(self.run_upkeep)
+            nursery.start_soon(self.send_new_facts)
+            nursery.start_soon(self.run_maintenance)
             nursery.start_soon(self.reservations.run)
             while True:
-                self.tick()
-                pause = YOUNG_TICK_SECONDS if self.young() else TICK_SECONDS
+                self.gossip()
+                pause = (
+                    STARTUP_INTERVAL_SECONDS
+                    if self.is_starting()
+                    else GOSSIP_INTERVAL_SECONDS
+                )
                 await trio.sleep(pause * self.rng.uniform(0.9, 1.1))
 
-    async def run_facts(self) -> None:
-        """Tells of what was found out just now."""
+    async def send_new_facts(self) -> None:
+        """Sends new facts."""
         while True:
-            await self.facts.fresh.wait()
-            # what comes at the same moment goes along
-            await trio.sleep(FRESH_SECONDS * self.rng.random())
-            self.tell_facts()
+            await self.facts.new_fact.wait()
+            # Facts added at the same moment go into the same message.
+            await trio.sleep(NEW_FACT_DELAY_SECONDS * self.rng.random())
+            self.send_facts()
 
-    async def run_upkeep(self) -> None:
-        """Forgets what is old, and asks hosts that are silent."""
+    async def run_maintenance(self) -> None:
+        """Removes expired entries and probes silent hosts."""
         while True:
-            self.members.forget_old()
-            self.facts.tidy()
+            self.members.remove_expired()
+            self.facts.prune()
             self.prompts.tidy()
             self.owners.tidy()
             self.reservations.owned.tidy()
-            self.note_size()
-            self.knock()
-            pause = YOUNG_TICK_SECONDS if self.young() else KNOCK_SECONDS
+            self.report_size()
+            self.probe_silent()
+            pause = (
+                STARTUP_INTERVAL_SECONDS
+                if self.is_starting()
+                else PROBE_INTERVAL_SECONDS
+            )
             await trio.sleep(pause * self.rng.uniform(0.9, 1.1))
 
-    def young(self) -> bool:
-        """Returns whether this router may not have found the others yet."""
-        return trio.current_time() - self.started < START_SECONDS
-
-    def tick(self) -> None:
-        """Tells some routers what this one knows."""
-        near = self.members.near
-        alive = len(near.alive()) + 1
-        self.count.note(self.zone, alive)
-        self.bound.note(self.fleet_size())
-        for host in near.choose(self.rng, NEAR_FAN_OUT):
+    def is_starting(self) -> bool:
+        """Returns whether this router may not have discovered the others."""
+        return trio.current_time() - self.started < STARTUP_SECONDS
+
+    def gossip(self) -> None:
+        """Sends this router's state to some routers."""
+        own_zone = self.members.own_zone
+        alive = len(own_zone.alive()) + 1
+        self.fleet.note(self.zone, alive)
+        self.divisor.note(self.fleet_size())
+        for host in own_zone.choose(self.rng, OWN_ZONE_FAN_OUT):
             self.send(host, self.full_state(host))
-        due = self.zone_far_rate(alive) * TICK_SECONDS / alive
+        due = self.other_zone_rate(alive) * GOSSIP_INTERVAL_SECONDS / alive
         if self.rng.random() < due:
-            self.tell_far()
+            self.send_to_other_zone()
 
-    def zone_far_rate(self, alive: int) -> float:
-        """Returns how many messages a second the zone sends to others.
+    def other_zone_rate(self, alive: int) -> float:
+        """Returns the messages per second that the zone sends to others.
 
         Args:
-            alive: Routers of the zone.
+            alive: Number of live routers of the zone.
         """
         now = trio.current_time()
-        if abs(alive - self.steady_size) > ZONE_CHANGE * self.steady_size:
-            self.steady_size = alive
-            self.hurry_until = now + HURRY_SECONDS
-        if now < self.hurry_until:
-            return HURRIED_FAR_PER_SECOND
-        return ZONE_FAR_PER_SECOND
-
-    def tell_far(self) -> None:
-        """Tells one router of another zone what this one knows."""
-        zones = sorted(self.members.far)
+        if (
+            abs(alive - self.last_zone_size)
+            > ZONE_CHANGE_FRACTION * self.last_zone_size
+        ):
+            self.last_zone_size = alive
+            self.frequent_until = now + CHANGED_ZONE_SECONDS
+        if now < self.frequent_until:
+            return CHANGED_ZONE_MESSAGES_PER_SECOND
+        return OTHER_ZONE_MESSAGES_PER_SECOND
+
+    def send_to_other_zone(self) -> None:
+        """Sends this router's state to one router of another zone."""
+        zones = sorted(self.members.other_zones)
         if not zones:
             return
-        host = self.members.choose_far(self.rng, self.rng.choice(zones))
+        host = self.members.choose_in_zone(self.rng, self.rng.choice(zones))
         if host is not None:
             self.send(host, self.full_state(host))
 
-    def tell_facts(self) -> None:
-        """Tells of what was found out just now, also to other zones."""
-        hosts = self.members.near.choose(self.rng, NEAR_FAN_OUT)
-        zones = sorted(self.members.far)
-        # as many of a zone as there are zones pass it on to another one
+    def send_facts(self) -> None:
+        """Sends new facts, also to other zones."""
+        hosts = self.members.own_zone.choose(self.rng, OWN_ZONE_FAN_OUT)
+        zones = sorted(self.members.other_zones)
+        # On average as many routers of the zone as there are other zones send
+        # the facts to another zone.
         if zones and self.rng.random() < len(zones) / self.zone_size():
-            far = self.members.choose_far(self.rng, self.rng.choice(zones))
-            hosts += [] if far is None else [far]
+            other = self.members.choose_in_zone(
+                self.rng, self.rng.choice(zones)
+            )
+            hosts += [] if other is None else [other]
         if not hosts:
-            self.facts.told()
+            self.facts.next_rows()
         for host in hosts:
-            self.send(host, self.state(host, facts=self.facts.told()))
+            self.send(host, self.state(host, facts=self.facts.next_rows()))
 
     def zone_size(self) -> int:
-        """Returns how many routers of this zone are alive."""
-        return len(self.members.near.alive()) + 1
+        """Returns the number of live routers of this zone."""
+        return len(self.members.own_zone.alive()) + 1
 
-    def knock(self) -> None:
-        """Asks hosts that are not known to be alive."""
+    def probe_silent(self) -> None:
+        """Probes hosts that are not known to be alive."""
         silent = self.members.silent_hosts()
-        if len(silent) > KNOCK_FAN_OUT:
-            silent = self.rng.sample(silent, KNOCK_FAN_OUT)
+        if len(silent) > PROBE_FAN_OUT:
+            silent = self.rng.sample(silent, PROBE_FAN_OUT)
         for host in silent:
-            self.send(host, self.full_state(host, asks=True))
+            self.send(host, self.full_state(host, reply_requested=True))
 
-    def note_size(self) -> None:
-        """Writes a line if the fleet has become larger or smaller."""
+    def report_size(self) -> None:
+        """Sets the metrics, and logs a changed size of the fleet."""
         size = self.fleet_size()
         SIZE.set({}, size)
-        BOUND.set({}, self.budget_parts())
-        if abs(size - self.told_size) <= SIZE_CHANGE * self.told_size:
+        DIVISOR.set({}, self.budget_divisor())
+        if (
+            abs(size - self.logged_size)
+            <= SIZE_CHANGE_FRACTION * self.logged_size
+        ):
             return
-        self.told_size = size
-        zones = {name: one.routers for name, one in self.count.known().items()}
+        self.logged_size = size
+        zones = {
+            name: count.routers for name, count in self.fleet.recent().items()
+        }
         logs.change(
             'fleet_size_changed',
             routers=size,
             zones=zones,
-            bound=self.bound.most(),
+            bound=self.divisor.peak(),
         )
 
-    def tell_proof(self) -> None:
-        """Tells others that the store was read just now."""
-        hosts = self.members.near.choose(self.rng, PROOF_FAN_OUT)
-        zones = sorted(self.members.far)
+    def send_proof(self) -> None:
+        """Sends the proof of a store read to other routers."""
+        hosts = self.members.own_zone.choose(self.rng, PROOF_FAN_OUT)
+        zones = sorted(self.members.other_zones)
         if len(zones) > MAX_PROOF_ZONES:
             zones = self.rng.sample(zones, MAX_PROOF_ZONES)
-        far = [self.members.choose_far(self.rng, zone) for zone in zones]
-        for host in (*hosts, *far):
+        others = [self.members.choose_in_zone(self.rng, zone) for zone in zones]
+        for host in (*hosts, *others):
             if host is not None:
                 self.send(host, self.state(host))
 
-    def pass_on(self) -> None:
-        """Tells others of the zone that this router became fresher."""
-        for host in self.members.near.choose(self.rng, PASS_ON_FAN_OUT):
+    def relay(self) -> None:
+        """Sends a newer proof or snapshot to others of the zone."""
+        for host in self.members.own_zone.choose(self.rng, RELAY_FAN_OUT):
             self.send(host, self.state(host))
 
     def leave(self) -> None:
-        """Tells others that this router stops."""
+        """Announces to other routers that this one is stopping."""
         self.leaving = True
-        self.tell_proof()
+        self.send_proof()
 
     def send(self, host: str, state: messages_forwarding.RouterState) -> None:
         """Sends a message to a host; it may be lost."""
@@ -314,112 +342,120 @@
         self.link.send(host, state)
 
     def full_state(
-        self, host: str, asks: bool = False, new: bool = False
+        self, host: str, reply_requested: bool = False, new: bool = False
     ) -> messages_forwarding.RouterState:
-        """Returns all that one message can tell.
+        """Returns a message with all that one message can hold.
 
         Args:
-            host: Whom it is for.
-            asks: Whether an answer is wanted.
-            new: Whether the receiver has yet to find its neighbours.
+            host: The receiver.
+            reply_requested: Whether the receiver should reply.
+            new: Whether the receiver has yet to discover the routers of its
+                zone.
         """
         member = self.members.get(host)
         zone = '' if member is None else member.zone
-        near = not zone or zone == self.zone
+        same_zone = not zone or zone == self.zone
         return self.state(
             host,
-            asks=asks,
-            bound=self.bound.most(),
-            zones=self.count.told(),
-            facts=self.facts.told_to_new() if new else self.facts.told(),
-            # other zones need only the number
-            heard=self.members.near.told(self.rng) if near else b'',
-            reports=self.loads.told_reports(far=not near),
+            reply_requested=reply_requested,
+            bound=self.divisor.peak(),
+            zones=self.fleet.gossip_rows(),
+            facts=self.facts.rows_for_started()
+            if new
+            else self.facts.next_rows(),
+            # Other zones need only the number of routers.
+            heard=self.members.own_zone.packed_alive(self.rng)
+            if same_zone
+            else b'',
+            reports=self.loads.told_reports(far=not same_zone),
             requests=self.loads.told_requests(),
-            hosts=self.members.told(self.rng, zone, new),
-            prompts=self.prompts.told(far=not near),
+            hosts=self.members.host_rows(self.rng, zone, new),
+            prompts=self.prompts.told(far=not same_zone),
         )
 
     def state(
-        self, host: str, asks: bool = False, **known: object
+        self, host: str, reply_requested: bool = False, **fields: object
     ) -> messages_forwarding.RouterState:
-        """Returns this router's state as it is told to a host.
+        """Returns a message with this router's state for a host.
 
         Args:
-            host: Whom it is for.
-            asks: Whether an answer is wanted.
-            **known: Further fields of the message.
+            host: The receiver.
+            reply_requested: Whether the receiver should reply.
+            **fields: Further fields of the message.
         """
-        now = self.followed.clock()
+        now = self.snapshots.clock()
         member = self.members.get(host)
-        current = self.followed.current
+        current = self.snapshots.current
         return messages_forwarding.RouterState(
             name=self.name,
             incarnation=self.incarnation,
             host=self.host,
             zone=self.zone,
             leaving=self.leaving,
-            asks=asks,
+            asks=reply_requested,
             sent_at=now,
             echo_incarnation=0 if member is None else member.incarnation,
             echo_at=None if member is None else member.sent_at,
-            echo_held=0.0 if member is None else now - member.heard_by,
-            proof_age=None if current is None else self.followed.age,
+            echo_held=0.0
+            if member is None
+            else now - member.received_at_suspension_clock,
+            proof_age=None if current is None else self.snapshots.age,
             revision=0 if current is None else current.revision,
             digest=0 if current is None else current.digest,
-            **known,
+            **fields,
         )
 
     def on_message(self, message: peer.Message) -> None:
-        """Takes in a message of another router."""
+        """Handles a message of another router."""
         handler = self.handlers.get(type(message))
         if handler is not None:
             handler(message)
 
     def on_state(self, state: messages_forwarding.RouterState) -> None:
-        """Takes in what another router tells."""
+        """Handles the state of another router, and replies if needed."""
         if state.name == self.name:
             return
         DATAGRAMS.inc({'direction': 'in'})
         self.members.note(state)
-        self.take(state)
+        self.merge(state)
         gained = self.freshness.note(state)
-        if gained > PASS_ON_SECONDS:
-            self.pass_on()
+        if gained > RELAY_GAIN_SECONDS:
+            self.relay()
         if state.asks:
             self.send(state.host, self.full_state(state.host, new=True))
         elif self.should_answer(state, gained):
             self.send(state.host, self.state(state.host))
 
-    def take(self, state: messages_forwarding.RouterState) -> None:
-        """Takes in what a message says beside its sender's freshness."""
+    def merge(self, state: messages_forwarding.RouterState) -> None:
+        """Merges the content of a message except the proof of freshness."""
         if state.zone == self.zone:
-            self.members.near.take(state.heard)
-        self.members.learn_all(state.hosts)
-        self.count.take(state.zones)
-        if trio.current_time() - self.started < LEARN_BOUND_SECONDS:
-            self.bound.note(state.bound)
+            self.members.own_zone.merge(state.heard)
+        self.members.merge_hosts(state.hosts)
+        self.fleet.merge(state.zones)
+        if trio.current_time() - self.started < MERGE_COUNT_SECONDS:
+            self.divisor.note(state.bound)
         self.loads.note(state)
         self.prompts.take(state.prompts)
-        self.facts.take_all(state.facts)
+        self.facts.merge_rows(state.facts)
 
     def should_answer(
         self, state: messages_forwarding.RouterState, gained: float
     ) -> bool:
-        """Returns whether one of two routers can make the other fresher.
+        """Returns whether a reply lets either router gain freshness.
 
-        Either the sender is behind, or it is ahead and cannot prove it: it
-        does not echo a message of this life of this router, and gets one.
+        Either the sender's proof is older than this router's, or it is newer
+        and cannot be used: the message does not echo a message of this router's
+        present incarnation, and the reply provides one to echo.
         """
         if state.proof_age is None:
-            return self.followed.current is not None
-        ahead = state.proof_age + PASS_ON_SECONDS < self.followed.age
+            return self.snapshots.current is not None
+        ahead = state.proof_age + RELAY_GAIN_SECONDS < self.snapshots.age
         if ahead and gained <= 0.0:
             return state.echo_incarnation != self.incarnation
-        return self.followed.age + PASS_ON_SECONDS < state.proof_age
+        return self.snapshots.age + RELAY_GAIN_SECONDS < state.proof_age
 
     def on_fact(self, fact: facts_module.Fact) -> None:
-        """Passes a fact that is new here on to who uses it."""
-        learn = self.on_learned.get(fact.kind)
-        if learn is not None:
-            learn(fact)
+        """Calls the callback for the kind of a new fact."""
+        callback = self.fact_callbacks.get(fact.kind)
+        if callback is not None:
+            callback(fact)
--- a/lavenderbend/coordination/forwarding/removals.py
+++ b/lavenderbend/coordination/forwarding/removals.py
@@ -1,4 +1,4 @@
-"""Which keys left the store lately, for routers that know it as it was."""
+"""Keys recently removed from the store, for routers with older snapshots."""
 
 from __future__ import annotations
 
@@ -8,42 +8,45 @@
 if TYPE_CHECKING:
     from lavenderbend.state import forwarding
 
-# upstreams that are replaced within a minute on the largest site designed for
+# Upstreams that are replaced within a minute at the largest site that the
+# design covers.
 MAX_REMOVALS = 5000
 
 
 class Removals:
-    """Keys that left the snapshots of this router.
+    """Keys that were removed from the snapshots of this router.
 
-    A router that asks for what changed since a revision is told of these;
-    all keys of a store with thousands of entries would be sent instead, five
-    times a second while upstreams come and go.
+    A router that asks for the changes since a revision gets these keys.
+    Without them it would need all keys of a store with thousands of entries,
+    five times a second while upstreams come and go.
 
     Attributes:
-        entries: Revision at which this router saw that it was gone, and key.
-        since: Revision from which on `entries` is complete.
+        entries: Revision at which this router saw the removal, and key.
+        complete_since: Revision from which on `entries` is complete.
     """
 
     def __init__(self) -> None:
         self.entries: collections.deque[tuple[int, str]] = collections.deque()
-        self.since = 0
+        self.complete_since = 0
 
     def note(
         self,
         before: forwarding.RawSnapshot | None,
         after: forwarding.RawSnapshot,
     ) -> None:
-        """Notes what is gone with a newer snapshot."""
+        """Records the keys that a newer snapshot no longer has."""
         if before is None:
-            self.since = after.revision
+            self.complete_since = after.revision
             return
         for key in before.items.keys() - after.items.keys():
             self.entries.append((after.revision, key))
         while len(self.entries) > MAX_REMOVALS:
-            self.since, _ = self.entries.popleft()
+            self.complete_since, _ = self.entries.popleft()
 
-    def after(self, revision: int) -> list[str] | None:
-        """Returns what was removed since, None if that is not known."""
-        if revision < self.since:
+    def removed_since(self, revision: int) -> list[str] | None:
+        """Returns keys removed after a revision, None if the list is cut."""
+        if revision < self.complete_since:
             return None
-        return [key for at, key in self.entries if at > revision]
+        return [
+            key for removed_at, key in self.entries if removed_at > revision
+        ]
--- a/lavenderbend/coordination/forwarding/shared_freshness.py
+++ b/lavenderbend/coordination/forwarding/shared_freshness.py
@@ -1,4 +1,4 @@
-"""Freshness and snapshots that forwarding routers have from each other."""
+"""Proofs of freshness and snapshots shared between routers."""
 
 from __future__ import annotations
 
@@ -14,48 +14,53 @@
     from collections.abc import Callable
 
     from lavenderbend.coordination.forwarding import interfaces
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.protocol import messages_forwarding
     from lavenderbend.state import forwarding
 
-# while upstreams come and go ten times a second, each change would be fetched
-# by each router; this part of a version's time takes several at once
-FETCH_GAP_PART = 0.1
-# one router of a zone fetches from another zone and tells its neighbours; the
-# others give it this time, for each router of the zone
-FAR_WAIT_SECONDS_EACH = 0.01
-MAX_FAR_WAIT_SECONDS = 0.3
+# Minimum interval between fetches as a fraction of `apply_seconds`. While
+# upstreams come and go ten times a second, every router would otherwise fetch
+# every change; within the interval several changes are fetched at once.
+FETCH_INTERVAL_FRACTION = 0.1
+# One router of a zone fetches from another zone and offers the snapshot to the
+# others, which wait for that up to this time for each router of the zone.
+WAIT_SECONDS_PER_ROUTER = 0.01
+MAX_WAIT_SECONDS = 0.3
 NEVER = float('-inf')
 
 
 @attrs.frozen
-class Offer:
+class SnapshotOffer:
     """A newer snapshot that another router has.
 
     Attributes:
         host: That router.
-        near: Whether it is in this router's zone.
-        revision: Revision at which it told of it.
-        digest: Digest of that snapshot.
-        proved_at: Moment at which it was the newest, by this router's clock.
+        own_zone: Whether it is in this router's zone.
+        revision: Revision of the snapshot when it was offered.
+        digest: Digest of the snapshot.
+        proved_at: Time, by this router's suspension clock, at which the
+            snapshot is known to have been the newest.
     """
 
     host: str
-    near: bool
+    own_zone: bool
     revision: int
     digest: int
     proved_at: float
 
     @property
     def rank(self) -> tuple[int, bool]:
-        """What makes one offer better than another."""
-        return self.revision, self.near
+        """Sort key; the higher of two offers is preferred."""
+        return self.revision, self.own_zone
 
     def proof_of(self, snapshot: forwarding.Snapshot) -> float:
-        """Returns the moment at which a fetched snapshot was the newest.
+        """Returns the time at which a fetched snapshot was the newest.
 
-        What is fetched may be older than what was told of: that router may
-        have started anew between. Its proof is none of an older one.
+        The fetched snapshot may be older than the offered one, if that router
+        was restarted in between. The offer's proof does not hold for an older
+        snapshot.
         """
         same = snapshot.digest == self.digest
         if same or snapshot.revision >= self.revision:
@@ -64,148 +69,151 @@
 
 
 class SharedFreshness:
-    """Takes over what other routers know of the store.
+    """Takes over proofs of freshness and snapshots of other routers.
 
-    A message says how old its sender's proof of freshness is. That alone
-    proves nothing: the message may have waited while the receiver was
-    suspended. Each message also echoes the clock of the last message that
-    its sender had from the receiver; what the sender knew when it made the
-    message is then at most as old as that echo, by the receiver's own clock.
+    A message contains the age of its sender's proof of freshness. That alone
+    proves nothing: the message may have been queued while the receiver was
+    suspended. Each message also echoes the clock of the last message that its
+    sender received from the receiver. By the receiver's own clock, the sender's
+    state in the message is then at most as old as that echo.
 
     Attributes:
         incarnation: Of this router's process.
-        followed: What this router knows of the store.
+        snapshots: This router's copy of the store.
         link: Fetches snapshots.
         zone: This router's availability zone.
-        zone_size: Returns how many routers it has.
-        fetched: Called when a snapshot has come from another router.
-        offer: The latest newer snapshot that was told of.
-        offered: Set when there is one.
-        near_offered: Set when a neighbour has it.
+        zone_size: Returns the number of live routers of the zone.
+        on_fetched: Called when a snapshot was fetched from another router.
+        offer: The best offer of a newer snapshot.
+        has_offer: Set when there is an offer to fetch.
+        has_own_zone_offer: Set when a router of the own zone has made one.
     """
 
     def __init__(
         self,
         incarnation: int,
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         link: interfaces.DatagramLink,
         zone: str = '',
     ) -> None:
         self.incarnation = incarnation
-        self.followed = followed
+        self.snapshots = snapshots
         self.link = link
         self.zone = zone
         self.zone_size: Callable[[], int] = lambda: 1
-        self.fetched: Callable[[], None] = lambda: None
-        self.offer: Offer | None = None
-        self.offered = trio.Event()
-        self.near_offered = trio.Event()
+        self.on_fetched: Callable[[], None] = lambda: None
+        self.offer: SnapshotOffer | None = None
+        self.has_offer = trio.Event()
+        self.has_own_zone_offer = trio.Event()
 
     def note(self, state: messages_forwarding.RouterState) -> float:
-        """Takes over a proof, or notes the snapshot that it is of.
+        """Takes over a proof, or records the offer of a newer snapshot.
 
         Returns:
-            Seconds by which this router is fresher than before.
+            Seconds by which this router's proof became newer.
         """
         if state.proof_age is None:
             return 0.0
-        current = self.followed.current
+        current = self.snapshots.current
         proved_at = self.proved_at(state)
-        self.followed.note_answered(proved_at)
+        self.snapshots.note_answered(proved_at)
         if current is None or state.digest != current.digest:
             if current is None or state.revision > current.revision:
                 self.note_offer(state, proved_at)
             return 0.0
-        gained = proved_at - self.followed.proved_at
+        gained = proved_at - self.snapshots.proved_at
         if gained <= 0:
             return 0.0
         if state.revision > current.revision:
-            self.followed.current = attrs.evolve(
+            self.snapshots.current = attrs.evolve(
                 current, revision=state.revision
             )
-        self.followed.prove(proved_at)
+        self.snapshots.prove(proved_at)
         return gained
 
     def note_offer(
         self, state: messages_forwarding.RouterState, proved_at: float
     ) -> None:
-        """Notes a newer snapshot, unless a better one is to be fetched."""
-        offer = Offer(
+        """Records an offer, unless a better one waits to be fetched."""
+        offer = SnapshotOffer(
             state.host,
             state.zone == self.zone,
             state.revision,
             state.digest,
             proved_at,
         )
-        if self.offered.is_set() and self.offer.rank > offer.rank:
+        if self.has_offer.is_set() and self.offer.rank > offer.rank:
             return
         self.offer = offer
-        self.offered.set()
-        if offer.near:
-            self.near_offered.set()
+        self.has_offer.set()
+        if offer.own_zone:
+            self.has_own_zone_offer.set()
 
     def proved_at(self, state: messages_forwarding.RouterState) -> float:
-        """Returns the moment, by this router's clock, of a peer's proof.
+        """Returns the time of a peer's proof, by this router's clock.
 
-        The peer made its message after it heard the message that it echoes,
-        `echo_held` seconds after; its proof was `proof_age` old then. Taking
-        the echoed message's way as instant errs to the old side.
+        The peer sent its message `echo_held` seconds after it received the
+        message that it echoes; its proof was `proof_age` seconds old then. The
+        transit time of the echoed message counts as zero, so the result is
+        never too late.
         """
         if state.echo_at is None:
             return NEVER
         if state.echo_incarnation != self.incarnation:
-            # the echo is of this VM's clock before it lost power
+            # The echoed clock value is from an earlier start of this VM: its
+            # clock began anew after a power loss.
             return NEVER
         proved_at = state.echo_at + state.echo_held - state.proof_age
-        return min(proved_at, self.followed.clock())
+        return min(proved_at, self.snapshots.clock())
 
     async def run(self) -> None:
-        """Fetches newer snapshots from the routers that told of them."""
+        """Fetches newer snapshots from the routers that offered them."""
         while True:
-            await self.offered.wait()
-            await self.wait_near()
+            await self.has_offer.wait()
+            await self.wait_for_own_zone()
             offer = self.offer
-            self.offered = trio.Event()
-            self.near_offered = trio.Event()
+            self.has_offer = trio.Event()
+            self.has_own_zone_offer = trio.Event()
             await self.fetch(offer)
             await trio.sleep(
-                FETCH_GAP_PART * self.followed.settings.apply_seconds
+                FETCH_INTERVAL_FRACTION * self.snapshots.settings.apply_seconds
             )
 
-    async def wait_near(self) -> None:
-        """Waits a moment for a neighbour that has the snapshot.
+    async def wait_for_own_zone(self) -> None:
+        """Waits briefly for an offer from a router of the own zone.
 
-        A configuration that each router of a zone fetched from another zone
-        would pass between zones as often as there are routers.
+        Without this every router of a zone would fetch a configuration from
+        another zone, and it would be transferred between zones as often as
+        there are routers.
         """
-        if self.offer.near:
+        if self.offer.own_zone:
             return
-        most = FAR_WAIT_SECONDS_EACH * (self.zone_size() - 1)
-        most = min(most, MAX_FAR_WAIT_SECONDS)
-        with trio.move_on_after(most * self.followed.rng.random()):
-            await self.near_offered.wait()
-
-    async def fetch(self, offer: Offer) -> None:
-        """Fetches a snapshot; the store is read if this fails."""
-        current = self.followed.current
+        max_seconds = WAIT_SECONDS_PER_ROUTER * (self.zone_size() - 1)
+        max_seconds = min(max_seconds, MAX_WAIT_SECONDS)
+        with trio.move_on_after(max_seconds * self.snapshots.rng.random()):
+            await self.has_own_zone_offer.wait()
+
+    async def fetch(self, offer: SnapshotOffer) -> None:
+        """Fetches a snapshot; if this fails, a later store read provides it."""
+        current = self.snapshots.current
         known = None if current is None else current.raw
         try:
             raw = await self.fetch_raw(offer.host, known)
-            snapshot = self.followed.source.decode(raw)
+            snapshot = self.snapshots.source.decode(raw)
         except (errors.PeerError, errors.CodecError) as exc:
             logs.change('peer_snapshot_failed', host=offer.host, cause=str(exc))
             return
-        self.followed.accept(snapshot, offer.proof_of(snapshot))
-        self.fetched()
+        self.snapshots.accept(snapshot, offer.proof_of(snapshot))
+        self.on_fetched()
 
     async def fetch_raw(
         self, host: str, known: forwarding.RawSnapshot | None
     ) -> forwarding.RawSnapshot:
-        """Returns another router's snapshot, whole if changes do not fit.
+        """Returns a router's snapshot, whole if changes cannot be merged.
 
         Raises:
             PeerError: It did not answer.
-            CodecError: It has no whole snapshot either.
+            CodecError: Its whole snapshot could not be read either.
         """
         try:
             return await self.link.fetch(host, known)
--- a/lavenderbend/coordination/forwarding/snapshots.py
+++ b/lavenderbend/coordination/forwarding/snapshots.py
@@ -1,4 +1,4 @@
-"""The newest snapshot of the store, and how lately it was the newest."""
+"""The newest snapshot of the store, and the age of the proof that it is."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.forwarding import reading_turns
+from lavenderbend.coordination.forwarding import read_order
 from lavenderbend.coordination.forwarding import removals
 from lavenderbend.coordination.forwarding import store_reads
 from lavenderbend.observe import logs
@@ -22,24 +22,26 @@
     from lavenderbend.coordination.forwarding import interfaces
     from lavenderbend.state import forwarding
 
-# a version must be in force on all routers within `apply_seconds`: a read may
-# be due, fail once and be made again within it
-READ_PART = 0.4
-# routers that share what they read take turns, so that one read serves all;
-# each has had its turn after this part
-TURNS_PART = 0.35
-# an entry that lapsed while the store was away is back within two seconds
-REGISTER_SECONDS = 2.2
-# a store that answered no router for the longest pause between reads, and this,
-# was away
-AWAY_SECONDS = 0.5
+# Interval between reads as a fraction of `apply_seconds`. A version must be in
+# force on all routers within `apply_seconds`, even if a read fails once and is
+# repeated.
+READ_INTERVAL_FRACTION = 0.4
+# Routers share what they read and read in order, so that one read serves all.
+# After this fraction of `apply_seconds` beyond the interval all have been due.
+READ_ORDER_FRACTION = 0.35
+# An entry that lapsed during a store outage is registered again within two
+# seconds.
+REREGISTRATION_SECONDS = 2.2
+# A store that answered no router for the longest time between reads plus this
+# margin had an outage.
+OUTAGE_MARGIN_SECONDS = 0.5
 FIRST_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 0.8
-# while the store is away a few routers try it often and the others seldom: a
-# hundred a second would only find out sooner what one tells all
-FEW_READERS = 8
-MANY_RETRY_SECONDS = 6.0
-# a credential is refused this long before its revocation must be in force
+# During a store outage only this many routers retry often: a hundred retries a
+# second would detect no earlier what one router sends to all others.
+FREQUENT_RETRY_ROUTERS = 8
+INFREQUENT_RETRY_SECONDS = 6.0
+# Credentials are refused this long before a revocation must be in force.
 REVOCATION_MARGIN_SECONDS = 0.4
 NEVER = float('-inf')
 
@@ -54,10 +56,11 @@
 
 
 def suspension_clock() -> float:
-    """Returns seconds of a clock that counts while the VM is suspended.
+    """Returns the seconds of a clock that includes time of suspension.
 
-    The steady clock stands still meanwhile: a router that wakes would take
-    its configuration for fresh and serve a credential that was taken away.
+    The monotonic clock stops while the VM is suspended. By that clock a resumed
+    router would take its configuration for fresh and accept a credential that
+    was revoked meanwhile.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -67,9 +70,9 @@
     """How the store is followed.
 
     Attributes:
-        apply_seconds: An accepted version is in force after this.
-        revocation_seconds: A credential that was taken away is not served
-            longer than this, 0 to serve by the version in force.
+        apply_seconds: Time within which an accepted version is in force.
+        revocation_seconds: Time after which a revoked credential is no longer
+            accepted, 0 to go by the version in force however old it is.
     """
 
     apply_seconds: float = 2.0
@@ -79,24 +82,31 @@
 class Snapshots:
     """Follows the platform's store.
 
-    A snapshot that was read, or confirmed by a peer that has read, is
-    known to have been the newest at some moment: the one at which that read
-    was *sent*. Freshness counts from there.
+    A snapshot that was read, or confirmed by a peer that has read, is known to
+    have been the newest at the time at which that read was *sent*. This is its
+    proof of freshness, and its age counts from there.
 
     Attributes:
         current: The newest snapshot, None before the first read.
-        proved_at: Moment, by the suspension clock, at which `current` is
-            known to have been the newest.
-        answered_at: Latest moment, by the same clock, at which the store is
-            known to have answered any router, whatever it told.
-        back_at: When it was found to answer again after it had been away.
-        kept: Upstreams missing from `current` that may only have lapsed
-            while the store was away, and until when they are kept.
-        removals: What is gone, for routers that know an earlier snapshot.
-        reading_place: Returns this router's place in the order in which
+        proved_at: Time, by the suspension clock, at which `current` is known
+            to have been the newest.
+        answered_at: Latest time, by the same clock, at which the store is
+            known to have answered any router, whatever the content.
+        recovered_at: Time at which it was seen to answer again after an
+            outage.
+        retained: Upstreams missing from `current` whose entries may only have
+            lapsed during an outage, and the time until which they are
+            retained.
+        removals: Removed keys, for routers with an earlier snapshot.
+        read_position: Returns this router's position in the order in which
             routers read, 0 for the first.
         on_change: Called with each new snapshot.
         on_proof: Called when this router has read the store itself.
+        read_requested: Set when a request needs a fresher snapshot.
+        proved: Set, and replaced, at each newer proof.
+        failures: Reads that failed in a row.
+        retry_at: Time before which a failed read is not repeated.
+        read_delay_seconds: Time for which this router lets others read first.
     """
 
     def __init__(
@@ -113,17 +123,17 @@
         self.current: forwarding.Snapshot | None = None
         self.proved_at = NEVER
         self.answered_at = NEVER
-        self.back_at = NEVER
-        self.kept: dict[str, tuple[forwarding.Upstream, float]] = {}
+        self.recovered_at = NEVER
+        self.retained: dict[str, tuple[forwarding.Upstream, float]] = {}
         self.removals = removals.Removals()
-        self.reading_place: Callable[[], int] = lambda: 0
+        self.read_position: Callable[[], int] = lambda: 0
         self.on_change: list[Callable[[forwarding.Snapshot], None]] = []
         self.on_proof: list[Callable[[], None]] = []
-        self.wanted = trio.Event()
+        self.read_requested = trio.Event()
         self.proved = trio.Event()
         self.failures = 0
         self.retry_at = NEVER
-        self.turn_seconds = 0.0
+        self.read_delay_seconds = 0.0
 
     @property
     def age(self) -> float:
@@ -131,14 +141,16 @@
         return self.clock() - self.proved_at
 
     @property
-    def away_seconds(self) -> float:
-        """Time without an answer to anybody from which the store was away.
+    def outage_seconds(self) -> float:
+        """Time without an answer to any router that counts as an outage.
 
-        Under it an entry that is missing is gone: its upstream has left
-        without a word, and gets nothing new.
+        After a shorter time a missing entry means that its upstream has left
+        without notice; it gets no new requests.
         """
-        longest = (READ_PART + TURNS_PART) * self.settings.apply_seconds
-        return longest + AWAY_SECONDS
+        longest = (
+            READ_INTERVAL_FRACTION + READ_ORDER_FRACTION
+        ) * self.settings.apply_seconds
+        return longest + OUTAGE_MARGIN_SECONDS
 
     @property
     def table(self) -> forwarding.ForwardingTable | None:
@@ -146,67 +158,68 @@
         return None if self.current is None else self.current.table
 
     def may_serve_credentials(self) -> bool:
-        """Returns whether a credential may still be what the table says."""
-        bound = self.settings.revocation_seconds
-        if bound == 0.0:
+        """Returns whether the table is fresh enough to accept credentials."""
+        max_age = self.settings.revocation_seconds
+        if max_age == 0.0:
             return True
-        return self.age < bound - REVOCATION_MARGIN_SECONDS
+        return self.age < max_age - REVOCATION_MARGIN_SECONDS
 
     async def wait_fresh(self, seconds: float, within: float) -> bool:
         """Waits until the snapshot is younger than `seconds`.
 
         Args:
             seconds: Age that is fresh enough.
-            within: Seconds to wait at most.
+            within: Maximum wait in seconds.
 
         Returns:
-            Whether it is.
+            Whether the snapshot is that young.
         """
         if self.failures and self.retry_at > self.clock() + within:
-            # nothing is known to come: the caller hears of it now
+            # No read is due within that time: the caller need not wait.
             return self.age < seconds
         with trio.move_on_after(within):
             while self.age >= seconds:
-                self.wanted.set()
+                self.read_requested.set()
                 await self.proved.wait()
         return self.age < seconds
 
     async def run(self) -> None:
-        """Reads the store whenever nobody else has for a while."""
+        """Reads the store whenever no other router has read it in time."""
         while True:
-            delay = self.due() - self.clock()
+            delay = self.next_read_at() - self.clock()
             if delay > 0:
-                await self.wait_wanted(delay)
-                if not self.wanted.is_set():
+                await self.wait_for_request(delay)
+                if not self.read_requested.is_set():
                     continue
-            self.wanted = trio.Event()
+            self.read_requested = trio.Event()
             await self.read()
 
-    async def wait_wanted(self, seconds: float) -> None:
-        """Waits so long, or until a request needs to know now.
+    async def wait_for_request(self, seconds: float) -> None:
+        """Waits for `seconds`, or until a request needs a fresher snapshot.
 
-        After a read that failed no request is a reason for another one: a
-        store that is away would get as many calls as callers send requests.
+        After a failed read a request does not cause another read: otherwise a
+        store in an outage would get as many reads as callers send requests.
         """
         with trio.move_on_after(seconds):
             if self.failures:
-                self.wanted = trio.Event()
+                self.read_requested = trio.Event()
                 await self.proved.wait()
             else:
-                await self.wanted.wait()
-
-    def due(self) -> float:
-        """Returns the moment of the next read, by the suspension clock."""
-        interval = READ_PART * self.settings.apply_seconds
-        turn = self.proved_at + interval + self.turn_seconds
-        # another router reaches a store that turned this one away
-        return max(turn, self.retry_at) if self.failures else turn
-
-    def draw_turn(self) -> None:
-        """Notes how long this router lets others read before it."""
-        self.turn_seconds = reading_turns.wait_seconds(
-            self.reading_place(),
-            TURNS_PART * self.settings.apply_seconds,
+                await self.read_requested.wait()
+
+    def next_read_at(self) -> float:
+        """Returns the time of the next read, by the suspension clock."""
+        interval = READ_INTERVAL_FRACTION * self.settings.apply_seconds
+        read_at = self.proved_at + interval + self.read_delay_seconds
+        # A store that refuses this router may answer another one, whose proof
+        # then postpones the read of this one.
+        return max(read_at, self.retry_at) if self.failures else read_at
+
+    def draw_read_delay(self) -> None:
+        """Sets for how long this router lets others read first."""
+        self.read_delay_seconds = read_order.wait_seconds(
+            self.read_position(),
+            READ_ORDER_FRACTION * self.settings.apply_seconds,
             self.rng.random(),
         )
 
@@ -215,7 +228,7 @@
         sent_at = self.clock()
         try:
             raw = await self.read_raw()
-            snapshot = self.decoded(raw)
+            snapshot = self.decode(raw)
         except errors.KeyValueError as exc:
             self.note_failure(exc)
             return
@@ -234,7 +247,7 @@
             callback()
 
     async def read_raw(self) -> forwarding.RawSnapshot:
-        """Returns what the store holds.
+        """Returns the content of the store.
 
         Raises:
             KeyValueError: It did not answer.
@@ -242,76 +255,76 @@
         current = self.current
         if current is None:
             return await self.source.read()
-        # a peer may have shown that nothing changed up to a later revision
+        # A peer may have proved that nothing changed up to a later revision.
         known = attrs.evolve(current.raw, revision=current.revision)
-        return await store_reads.read_again(self.source, known)
+        return await store_reads.read_changes(self.source, known)
 
-    def decoded(self, raw: forwarding.RawSnapshot) -> forwarding.Snapshot:
-        """Returns a snapshot; the one in force if nothing has changed."""
+    def decode(self, raw: forwarding.RawSnapshot) -> forwarding.Snapshot:
+        """Returns the decoded snapshot, or the one in force if unchanged."""
         current = self.current
         if current is not None and raw.digest == current.digest:
             return attrs.evolve(current, revision=raw.revision, raw=raw)
         return self.source.decode(raw)
 
     def note_failure(self, cause: errors.KeyValueError) -> None:
-        """Notes that the store did not answer."""
+        """Records that the store did not answer."""
         READS.inc({'outcome': 'failed'})
         if not self.failures:
             logs.change('store_lost', cause=str(cause), age=round(self.age, 3))
         self.delay_retry()
 
     def delay_retry(self) -> None:
-        """Puts the next read off, the longer the more reads failed."""
+        """Delays the next read by exponential backoff with jitter."""
         self.failures += 1
         delay = FIRST_RETRY_SECONDS * 2.0 ** min(self.failures - 1, 4)
         delay = min(delay, MAX_RETRY_SECONDS)
-        if self.reading_place() >= FEW_READERS:
-            delay = MANY_RETRY_SECONDS
+        if self.read_position() >= FREQUENT_RETRY_ROUTERS:
+            delay = INFREQUENT_RETRY_SECONDS
         self.retry_at = self.clock() + self.rng.uniform(0.5, 1.0) * delay
 
     def accept(self, snapshot: forwarding.Snapshot, proved_at: float) -> None:
-        """Takes a snapshot over, unless a newer one is known.
+        """Takes over a snapshot, unless a newer one is present.
 
         Args:
             snapshot: From the store or a peer.
-            proved_at: Moment at which it is known to have been the newest.
+            proved_at: Time at which it is known to have been the newest.
         """
         current = self.current
         if current is not None and snapshot.revision < current.revision:
             return
         self.removals.note(current and current.raw, snapshot.raw)
         if current is None or snapshot.digest != current.digest:
-            self.keep_lapsed(snapshot)
+            self.retain_lapsed(snapshot)
             self.current = snapshot
-            self.tell_change(snapshot)
+            self.notify_change(snapshot)
         else:
             self.current = snapshot
         self.prove(proved_at)
 
     def note_answered(self, at: float) -> None:
-        """Notes that the store answered some router.
+        """Records that the store answered some router.
 
         Args:
-            at: Moment by the suspension clock.
+            at: Time of the answer by the suspension clock.
         """
         if at <= self.answered_at:
             return
         gap = at - self.answered_at
-        if self.current is not None and gap > self.away_seconds:
-            self.back_at = self.clock()
+        if self.current is not None and gap > self.outage_seconds:
+            self.recovered_at = self.clock()
         self.answered_at = at
 
     def prove(self, proved_at: float) -> None:
-        """Notes that `current` was the newest at a moment."""
+        """Records a time at which `current` was the newest."""
         if proved_at <= self.proved_at:
             return
         self.proved_at = proved_at
-        self.draw_turn()
+        self.draw_read_delay()
         self.proved.set()
         self.proved = trio.Event()
 
-    def tell_change(self, snapshot: forwarding.Snapshot) -> None:
-        """Tells of a new snapshot."""
+    def notify_change(self, snapshot: forwarding.Snapshot) -> None:
+        """Logs a new snapshot and calls the callbacks."""
         version = 0 if snapshot.table is None else snapshot.table.version
         VERSION.set({}, version)
         logs.change(
@@ -323,27 +336,28 @@
         for callback in self.on_change:
             callback(snapshot)
 
-    def keep_lapsed(self, snapshot: forwarding.Snapshot) -> None:
-        """Keeps upstreams whose entries may only have lapsed.
+    def retain_lapsed(self, snapshot: forwarding.Snapshot) -> None:
+        """Retains upstreams whose entries may only have lapsed.
 
-        While the store is away upstreams cannot renew their entries. A
-        router that took a whole service for gone at the store's return
-        would refuse everything until they are back. That this router's own
-        picture is old shows no such thing: its reads may be slow.
+        During a store outage upstreams cannot renew their entries. Without
+        this, a router would take all upstreams of a service for gone when the
+        store recovers, and refuse every request until they are registered
+        again. An old snapshot of this router alone does not prove an outage:
+        its own reads may be slow.
         """
         now = self.clock()
-        # an id that is listed with a later start has not lapsed: its earlier
-        # start is gone
+        # An id that is listed with a later start has not lapsed: its earlier
+        # start is gone.
         listed = {upstream.vm.id for upstream in snapshot.upstreams.values()}
-        self.kept = {
+        self.retained = {
             instance: (upstream, until)
-            for instance, (upstream, until) in self.kept.items()
+            for instance, (upstream, until) in self.retained.items()
             if until > now and upstream.vm.id not in listed
         }
-        until = self.back_at + REGISTER_SECONDS
+        until = self.recovered_at + REREGISTRATION_SECONDS
         if self.current is None or until <= now:
             return
         for instance, upstream in self.current.upstreams.items():
             if upstream.vm.id not in listed:
-                self.kept[instance] = (upstream, until)
+                self.retained[instance] = (upstream, until)
                 logs.change('upstream_lapsed', upstream=instance)
--- a/lavenderbend/coordination/forwarding/store_reads.py
+++ b/lavenderbend/coordination/forwarding/store_reads.py
@@ -1,4 +1,4 @@
-"""How much of the store is read to know what it holds."""
+"""Reads of the store: the whole content, or only its changes."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
     from lavenderbend.coordination.forwarding import interfaces
     from lavenderbend.state import forwarding
 
-# a store under this is read whole: a second call costs more than the 80 ms for
-# which it holds a link of 10 Mbit/s
-SMALL_STORE_BYTES = 64 * 1024
+# A store smaller than this is read whole: a second call costs more than the
+# 80 ms for which the content occupies a link of 10 Mbit/s.
+FULL_READ_BYTES = 64 * 1024
 
 
-async def read_again(
+async def read_changes(
     source: interfaces.SnapshotSource, known: forwarding.RawSnapshot
 ) -> forwarding.RawSnapshot:
-    """Returns what the store holds, read by its changes if it is large.
+    """Returns the store's content, read incrementally if it is large.
 
-    Thousands of entries, or a configuration of some hundred routes, hold a
-    link of 10 Mbit/s for a tenth of a second and more; streams wait behind
-    them. The revision alone proves that nothing has changed. What the store
-    tells of changes may lack some; it counts if there is one for each
-    revision up to the one that was read, and else the store is read whole.
+    Thousands of entries, or a configuration of some hundred routes, occupy a
+    link of 10 Mbit/s for a tenth of a second and more, and streams wait behind
+    them. An unchanged revision proves that nothing has changed. The changes
+    that the store returns may be incomplete; they are used if there is one for
+    each revision up to the newest one. Otherwise the store is read whole.
 
     Args:
         source: The store.
-        known: What it held at its revision.
+        known: An earlier content with its revision.
 
     Raises:
-        KeyValueError: It did not answer.
+        KeyValueError: The store did not answer.
     """
     size = sum(len(item.value) for item in known.items.values())
-    if size < SMALL_STORE_BYTES:
+    if size < FULL_READ_BYTES:
         return await source.read()
     newest = await source.newest_revision()
     if newest == known.revision:
--- a/lavenderbend/coordination/forwarding/suspicions.py
+++ b/lavenderbend/coordination/forwarding/suspicions.py
@@ -20,11 +20,11 @@
 FINDERS_OF_MANY = 2
 
 
-@facts_module.KINDS.register(SUSPECTED)
-class Suspected(facts_module.Kind):
+@facts_module.FACT_KINDS.register(SUSPECTED)
+class Suspected(facts_module.FactKind):
     """An upstream that one router found dead; the source is that router."""
 
-    most_seconds = MOST_SECONDS
+    max_seconds = MOST_SECONDS
 
 
 class Suspicions:
@@ -52,11 +52,11 @@
         """Believes that an upstream is dead if enough routers found so."""
         if fact.source == self.facts.origin:
             return
-        found = self.facts.of(SUSPECTED, fact.subject)
+        found = self.facts.current(SUSPECTED, fact.subject)
         few = self.fleet_size() <= FEW_ROUTERS
         if len(found) < (FINDERS_OF_FEW if few else FINDERS_OF_MANY):
             return
-        until = max(one.until for one in found)
+        until = max(one.expires_at for one in found)
         self.believed(fact.subject, until - trio.current_time())
 
 
--- a/lavenderbend/coordination/forwarding/zone_members.py
+++ b/lavenderbend/coordination/forwarding/zone_members.py
@@ -1,4 +1,4 @@
-"""Which routers of one availability zone are alive."""
+"""The routers of one availability zone that are alive."""
 
 from __future__ import annotations
 
@@ -11,80 +11,88 @@
 if TYPE_CHECKING:
     import random
 
-# two hundred routers that each tell a quarter of the others ten times a second
-# have nearly all been heard of within three seconds, with 2 % loss
-HEARD_SECONDS = 3.0
-# in one message: 5 bytes each
-MAX_TOLD = 40
+# When two hundred routers each send a quarter of the others ten times a second,
+# signs of life of nearly all arrive within three seconds, at 2 % message loss.
+ALIVE_SECONDS = 3.0
+# A packed host takes 5 bytes.
+MAX_HOSTS_PER_MESSAGE = 40
 
 
 class ZoneMembers:
-    """Routers of this router's zone, and when each was last heard of.
+    """Routers of this router's zone and the times they were last seen alive.
 
-    Each message tells when its sender last had a sign of life of some
-    routers, its own or told by others. The latest sign counts, so that
-    messages may come late, twice or in any order. No router has to hear each
-    of the others itself: a sign passes through a zone of hundreds within two
-    seconds at a few messages a second.
+    Each message contains, for some routers, the time at which its sender last
+    had a sign of life of them, received directly or from other routers. The
+    latest sign counts, so messages may be late, duplicated or out of order. No
+    router needs messages from each of the others: a sign of life spreads
+    through a zone of hundreds within two seconds at a few messages a second.
 
     Attributes:
         host: This router.
-        heard: Router clock of the latest sign of life, by host.
+        last_seen: Router clock of the latest sign of life, by host.
     """
 
     def __init__(self, host: str) -> None:
         self.host = host
-        self.heard: dict[str, float] = {}
+        self.last_seen: dict[str, float] = {}
 
     def note(self, host: str, age: float = 0.0) -> None:
-        """Notes that a router gave a sign of life so many seconds ago."""
+        """Records that a router gave a sign of life `age` seconds ago."""
         if host == self.host:
             return
-        at = trio.current_time() - age
-        if at > self.heard.get(host, float('-inf')):
-            self.heard[host] = at
+        seen_at = trio.current_time() - age
+        if seen_at > self.last_seen.get(host, float('-inf')):
+            self.last_seen[host] = seen_at
 
-    def take(self, rows: bytes) -> None:
-        """Takes in what another router heard."""
+    def merge(self, rows: bytes) -> None:
+        """Merges the signs of life of another router's message."""
         for host, age in packed_rows.unpack_heard(rows):
-            if age < HEARD_SECONDS:
+            if age < ALIVE_SECONDS:
                 self.note(host, age)
 
-    def told(self, rng: random.Random) -> bytes:
-        """Returns what others are told, some at random if there are many."""
+    def packed_alive(self, rng: random.Random) -> bytes:
+        """Returns routers that are alive, a random sample if many, packed."""
         now = trio.current_time()
         alive = self.alive()
-        if len(alive) > MAX_TOLD:
-            alive = rng.sample(alive, MAX_TOLD)
+        if len(alive) > MAX_HOSTS_PER_MESSAGE:
+            alive = rng.sample(alive, MAX_HOSTS_PER_MESSAGE)
         return packed_rows.pack_heard(
-            (host, now - self.heard[host]) for host in alive
+            (host, now - self.last_seen[host]) for host in alive
         )
 
     def alive(self) -> list[str]:
-        """Returns the other routers that gave a sign of life lately."""
-        oldest = trio.current_time() - HEARD_SECONDS
-        return [host for host, at in self.heard.items() if at >= oldest]
+        """Returns the other routers seen within `ALIVE_SECONDS`."""
+        oldest = trio.current_time() - ALIVE_SECONDS
+        return [
+            host
+            for host, seen_at in self.last_seen.items()
+            if seen_at >= oldest
+        ]
 
     def silent(self) -> list[str]:
-        """Returns those that did not, and are not forgotten yet."""
-        oldest = trio.current_time() - HEARD_SECONDS
-        return [host for host, at in self.heard.items() if at < oldest]
-
-    def forget(self, seconds: float) -> None:
-        """Forgets those that were not heard of for so long."""
+        """Returns the known routers not seen within `ALIVE_SECONDS`."""
+        oldest = trio.current_time() - ALIVE_SECONDS
+        return [
+            host for host, seen_at in self.last_seen.items() if seen_at < oldest
+        ]
+
+    def remove_expired(self, seconds: float) -> None:
+        """Removes routers that were not seen for `seconds`."""
         oldest = trio.current_time() - seconds
-        for host in [one for one, at in self.heard.items() if at < oldest]:
-            del self.heard[host]
+        for host in [
+            name for name, seen_at in self.last_seen.items() if seen_at < oldest
+        ]:
+            del self.last_seen[host]
 
-    def drop(self, host: str) -> None:
-        """Forgets a router that says that it leaves."""
-        self.heard.pop(host, None)
+    def remove(self, host: str) -> None:
+        """Removes a router that announced that it is stopping."""
+        self.last_seen.pop(host, None)
 
     def choose(self, rng: random.Random, count: int) -> list[str]:
-        """Returns some that are alive, those heard lately more likely.
+        """Returns some routers that are alive, recently seen ones preferred.
 
-        Of two drawn at random the one that was heard later is taken: when
-        many die at once, messages soon go to those that live.
+        Of two drawn at random the more recently seen one is chosen: when many
+        routers die at once, messages soon go to those that are alive.
         """
         alive = self.alive()
         if len(alive) <= count:
@@ -92,5 +100,5 @@
         chosen: set[str] = set()
         while len(chosen) < count:
             pair = rng.sample(alive, 2)
-            chosen.add(max(pair, key=self.heard.__getitem__))
+            chosen.add(max(pair, key=self.last_seen.__getitem__))
         return sorted(chosen)
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -94,7 +94,7 @@
             host,
             port,
             lambda: self.snapshots.current,
-            self.snapshots.removals.after,
+            self.snapshots.removals.removed_since,
         )
         self.directory = directory.Directory(self.snapshots)
         self.health = health.Health()
@@ -124,7 +124,7 @@
             self.snapshots, self.directory, self.peers.facts
         )
         self.health.on_suspect = self.suspicions.tell
-        self.peers.on_learned = {
+        self.peers.fact_callbacks = {
             crashes.DEATH: self.crashes.learn,
             crashes.CLEARED: self.crashes.learn,
             departures.LEFT: self.departures.learn,
@@ -132,7 +132,7 @@
             suspicions.SUSPECTED: self.suspicions.learn,
         }
         self.budget = budget.RepeatBudget(
-            repeat_settings(settings), self.peers.budget_parts
+            repeat_settings(settings), self.peers.budget_divisor
         )
         self.forwarder = forwarder.Forwarder(
             entry.Entry(
@@ -318,7 +318,7 @@
             current = self.snapshots.current
             if current is None:
                 continue
-            instances = {*current.upstreams, *self.snapshots.kept}
+            instances = {*current.upstreams, *self.snapshots.retained}
             self.exchanges.retain(instances)
             self.exchanges.sweep()
             self.health.retain(instances)
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -121,11 +121,11 @@
 
 def fleet(app: ForwardingOperators) -> dict[str, Any]:
     """Returns how many routers this one counts, by zone."""
-    known = app.peers.count.known()
+    known = app.peers.fleet.recent()
     return {
         'routers': app.peers.fleet_size(),
         'zones': {zone: one.routers for zone, one in known.items()},
-        'budget_parts': app.peers.budget_parts(),
+        'budget_parts': app.peers.budget_divisor(),
     }
 
 
@@ -140,7 +140,7 @@
         state = 'alive' if members.is_alive(member) else 'silent'
         state = 'leaving' if member.leaving else state
         yield router_row(member.name, member.zone, state)
-    near = set(members.near.alive())
+    near = set(members.own_zone.alive())
     silent = {*members.silent_hosts()}
     for host in sorted((near | silent) - members.by_host.keys()):
         zone = members.zone if host in near else ''
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -451,7 +451,7 @@
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
-        self.peers.on_learned = {
+        self.peers.fact_callbacks = {
             crashes.DEATH: self.crashes.learn,
             crashes.CLEARED: self.crashes.learn,
             departures.LEFT: self.departures.learn,
--- a/tests/integration/test_integration_forwarding.py
+++ b/tests/integration/test_integration_forwarding.py
@@ -137,7 +137,7 @@
 async def test_broken_stream_is_one_stream_to_its_caller(fleet):
     # the router has its part of the repeats when its count of routers stands
     # still; both upstreams are asked first by some request
-    await trio.sleep(fleet_count.SETTLE_SECONDS + SETTLE_MORE_SECONDS)
+    await trio.sleep(fleet_count.GROWTH_SECONDS + SETTLE_MORE_SECONDS)
     broken = fleet.workers['i-e2']
     broken.plans = ['breaks_off'] * 2
     for number in range(4):
--- a/tests/test_coordination/test_forwarding_facts.py
+++ b/tests/test_coordination/test_forwarding_facts.py
@@ -50,11 +50,11 @@
     def check():
         first, second = make(), make()
         for fact in found:
-            first.take(fact)
+            first.merge(fact)
         again = [*found, *rng.sample(found, rng.randint(0, len(found)))]
         rng.shuffle(again)
         for fact in again:
-            second.take(fact)
+            second.merge(fact)
         assert held(first) == held(second)
 
     on_virtual_clock(check)
@@ -72,14 +72,14 @@
     def check():
         first, second, third = make(), make(), make()
         for fact in found:
-            first.take(fact)
-            third.take(fact)
+            first.merge(fact)
+            third.merge(fact)
         for fact in found[:cut]:
-            second.take(fact)
-        rest = [one.fact for one in third.all()]
+            second.merge(fact)
+        rest = [one.fact for one in third.all_entries()]
         rng.shuffle(rest)
         for fact in rest:
-            second.take(fact)
+            second.merge(fact)
         assert held(first) == held(second)
 
     on_virtual_clock(check)
@@ -88,11 +88,11 @@
 async def test_fact_is_told_on_a_few_times_only(autojump_clock):
     known = make()
     known.add(crashes.DEATH, 'a', 'x', 60.0)
-    told = [bool(known.next_fresh()) for _ in range(3)]
+    told = [bool(known.next_new()) for _ in range(3)]
     assert told == [True] * 3
-    for _ in range(facts.TELLINGS):
-        known.told()
-    assert known.next_fresh() == []
+    for _ in range(facts.SENDS_PER_FACT):
+        known.next_rows()
+    assert known.next_new() == []
 
 
 async def test_router_that_was_cut_off_gets_the_old_facts(autojump_clock):
@@ -101,16 +101,16 @@
     known, late = make(), make()
     for number in range(20):
         known.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
-    while known.next_fresh():
-        known.told()
+    while known.next_new():
+        known.next_rows()
     for _ in range(45):
-        late.take_all(known.told())
+        late.merge_rows(known.next_rows())
     assert len(held(late)) == 20
 
 
 async def test_kind_of_a_later_version_is_passed_over(autojump_clock):
     known = make()
-    known.take_all([['unheard of', 'a', 'x', 0, 1000]])
+    known.merge_rows([['unheard of', 'a', 'x', 0, 1000]])
     assert held(known) == set()
 
 
@@ -118,16 +118,16 @@
     known = make()
     known.add(suspicions.SUSPECTED, 'e1', '10.0.0.2', 3600.0)
     await trio.sleep(suspicions.MOST_SECONDS + 0.1)
-    assert known.of(suspicions.SUSPECTED, 'e1') == []
-    known.tidy()
-    assert not known.has(suspicions.SUSPECTED)
+    assert known.current(suspicions.SUSPECTED, 'e1') == []
+    known.prune()
+    assert not known.may_have(suspicions.SUSPECTED)
 
 
 async def test_facts_are_bounded(autojump_clock):
     known = make()
     for number in range(facts.MAX_FACTS + 10):
         known.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
-    known.tidy()
+    known.prune()
     assert len(held(known)) == facts.MAX_FACTS
 
 
@@ -139,9 +139,9 @@
     # and what came next waited for the ordinary messages.
     known = make()
     known.add(crashes.DEATH, 'a', 'x', 60.0)
-    known.told()
-    waited = known.fresh
-    known.told()
+    known.next_rows()
+    waited = known.new_fact
+    known.next_rows()
     known.add(crashes.DEATH, 'b', 'x', 60.0)
     assert waited.is_set()
 
@@ -161,16 +161,16 @@
     # A router whose own way is cut finds one upstream after the other dead.
     # Believed by two hundred others it would empty the caches of them all.
     one, believed = suspecting(200)
-    one.facts.take_all([['suspected', 'e1', '10.0.0.2', 0, 1000]])
-    one.facts.take_all([['suspected', 'e2', '10.0.0.2', 0, 1000]])
+    one.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 0, 1000]])
+    one.facts.merge_rows([['suspected', 'e2', '10.0.0.2', 0, 1000]])
     assert believed == []
-    one.facts.take_all([['suspected', 'e1', '10.0.0.3', 0, 2000]])
+    one.facts.merge_rows([['suspected', 'e1', '10.0.0.3', 0, 2000]])
     assert believed == [('e1', 2.0)]
 
 
 async def test_one_router_of_few_is_believed(autojump_clock):
     one, believed = suspecting(4)
-    one.facts.take_all([['suspected', 'e1', '10.0.0.2', 200, 1000]])
+    one.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 200, 1000]])
     assert believed == [('e1', 0.8)]
 
 
--- a/tests/test_coordination/test_forwarding_fleet.py
+++ b/tests/test_coordination/test_forwarding_fleet.py
@@ -75,10 +75,10 @@
         fleet.net.zones[source] == 'zone-1'
         and fleet.net.zones[target] != 'zone-1'
     )
-    await watched(fleet, fleet_count.ZONE_SECONDS + 5.0)
+    await watched(fleet, fleet_count.ZONE_COUNT_SECONDS + 5.0)
     outside = [r for r in fleet.routers.values() if r.zone != 'zone-1']
     assert {router.peers.fleet_size() for router in outside} == {48}
-    assert {router.peers.budget_parts() for router in outside} == {60}
+    assert {router.peers.budget_divisor() for router in outside} == {60}
     fleet.net.cut = lambda source, target: False
     found = await watched(fleet, 8.0)
     assert 0.0 <= found['right_after'] <= 3.0
@@ -159,29 +159,29 @@
     begin = trio.current_time()
     while any('10.0.0.9' in one.alive() for one in known):
         for teller in known:
-            rows = teller.told(random.Random(1))
+            rows = teller.packed_alive(random.Random(1))
             for other in known:
-                other.take(rows)
+                other.merge(rows)
         await trio.sleep(0.01)
-        assert trio.current_time() - begin <= zone_members.HEARD_SECONDS + 0.1
+        assert trio.current_time() - begin <= zone_members.ALIVE_SECONDS + 0.1
 
 
 async def test_bound_grows_at_once_and_falls_late(autojump_clock):
-    bound = fleet_count.FleetBound()
-    assert bound.parts() == 0
+    bound = fleet_count.FleetDivisor()
+    assert bound.divisor() == 0
     bound.note(10)
-    assert bound.parts() == 0
-    await trio.sleep(fleet_count.SETTLE_SECONDS + 0.1)
-    assert bound.parts() == 10
+    assert bound.divisor() == 0
+    await trio.sleep(fleet_count.GROWTH_SECONDS + 0.1)
+    assert bound.divisor() == 10
     bound.note(4)
-    await trio.sleep(fleet_count.HOLD_SECONDS - 10.0)
+    await trio.sleep(fleet_count.PEAK_SECONDS - 10.0)
     bound.note(4)
-    assert bound.parts() == 10
+    assert bound.divisor() == 10
     await trio.sleep(20.0)
     bound.note(4)
-    assert bound.parts() == 4
+    assert bound.divisor() == 4
     # one more takes its part at once, many more give nobody a part
     bound.note(5)
-    assert bound.parts() == 0
-    await trio.sleep(fleet_count.SETTLE_SECONDS + 0.1)
-    assert bound.parts() == 5
+    assert bound.divisor() == 0
+    await trio.sleep(fleet_count.GROWTH_SECONDS + 0.1)
+    assert bound.divisor() == 5
--- a/tests/test_coordination/test_forwarding_half_done.py
+++ b/tests/test_coordination/test_forwarding_half_done.py
@@ -369,9 +369,9 @@
     subject = crashes.subject_of(loss.mark)
     now = trio.current_time()
     cleared = facts.Fact(crashes.CLEARED, subject, '10.0.0.2 0', now, 60.0)
-    the_router.crashes.facts.take(cleared)
+    the_router.crashes.facts.merge(cleared)
     await trio.sleep(1.0)
-    assert not the_router.crashes.facts.has(crashes.DEATH)
+    assert not the_router.crashes.facts.may_have(crashes.DEATH)
 
 
 async def test_request_whose_caller_left_goes_nowhere_else(autojump_clock):
--- a/tests/test_coordination/test_forwarding_path.py
+++ b/tests/test_coordination/test_forwarding_path.py
@@ -462,7 +462,7 @@
         known.add(crashes.DEATH, subject, name, 60.0)
         answer, error = await the_router.ask()
         assert (answer.status, error) == (200, None)
-        assert known.of(crashes.DEATH, subject) == []
+        assert known.current(crashes.DEATH, subject) == []
     kinds = [fact.kind for fact in the_router.learned]
     assert kinds == [crashes.DEATH, crashes.CLEARED] * 2
 
@@ -477,7 +477,7 @@
         await the_router.ask()
         await trio.sleep(0.2)
     assert len(exchanges.sent) == 6
-    assert not the_router.crashes.facts.has(crashes.DEATH)
+    assert not the_router.crashes.facts.may_have(crashes.DEATH)
 
 
 async def test_caller_that_leaves_ends_the_work(autojump_clock):
--- a/tests/test_coordination/test_forwarding_reading.py
+++ b/tests/test_coordination/test_forwarding_reading.py
@@ -8,7 +8,7 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.forwarding import reading_turns
+from lavenderbend.coordination.forwarding import read_order
 from lavenderbend.coordination.forwarding import snapshots
 from tests import forwarding_fakes as fakes
 from tests.test_coordination import test_forwarding_peers as peer_fleets
@@ -108,7 +108,7 @@
         random.Random(1),
         fakes.SuspensionClock(),
     )
-    followed.reading_place = lambda: 100
+    followed.read_position = lambda: 100
     nursery.start_soon(followed.run)
     await trio.sleep(1.0)
     source.error = errors.KeyValueUnavailable('down')
@@ -146,7 +146,7 @@
 def test_places_differ_and_zones_take_turns():
     zones = {'z1': ['a', 'b', 'c'], 'z2': ['d', 'e', 'f']}
     places = {
-        host: reading_turns.place(host, hosts, zone, zones)
+        host: read_order.position(host, hosts, zone, zones)
         for zone, hosts in zones.items()
         for host in hosts
     }
@@ -158,6 +158,6 @@
 def test_each_has_its_turn_in_time():
     for place in (0, 1, 5, 100, 5000):
         for drawn in (0.0, 0.5, 1.0):
-            wait = reading_turns.wait_seconds(place, 0.7, drawn)
+            wait = read_order.wait_seconds(place, 0.7, drawn)
             assert 0.0 <= wait <= 0.7
-    assert reading_turns.wait_seconds(0, 0.7, 0.5) == 0.0
+    assert read_order.wait_seconds(0, 0.7, 0.5) == 0.0
--- a/tests/test_coordination/test_forwarding_removals.py
+++ b/tests/test_coordination/test_forwarding_removals.py
@@ -37,7 +37,7 @@
     kept = removals.Removals()
     kept.note(None, old)
     kept.note(old, new)
-    content = peer_datagrams.changes_of(new, 3, kept.after(3))
+    content = peer_datagrams.changes_of(new, 3, kept.removed_since(3))
     assert content.keys is None
     assert (content.removed, len(content.changed)) == (['a'], 1)
     assert peer_datagrams.merged(old, content) == new
@@ -46,8 +46,8 @@
 def test_router_that_knows_an_older_store_is_told_all_keys():
     kept = removals.Removals()
     kept.note(None, raw(3, a=1))
-    assert kept.after(2) is None
-    content = peer_datagrams.changes_of(raw(3, a=1), 2, kept.after(2))
+    assert kept.removed_since(2) is None
+    content = peer_datagrams.changes_of(raw(3, a=1), 2, kept.removed_since(2))
     assert content.keys == ['a']
 
 
@@ -61,8 +61,8 @@
         kept.note(before, after)
         before = after
     assert len(kept.entries) == 10
-    assert kept.after(1) is None
-    assert kept.after(39) == []
+    assert kept.removed_since(1) is None
+    assert kept.removed_since(39) == []
 
 
 def test_changes_that_do_not_fit_are_refused():
--- a/tests/test_coordination/test_forwarding_snapshots.py
+++ b/tests/test_coordination/test_forwarding_snapshots.py
@@ -192,11 +192,11 @@
     followed = snapshots.Snapshots(
         source, snapshots.FollowSettings(3.0, 5.0), random.Random(1), clock
     )
-    followed.reading_place = lambda: 85
+    followed.read_position = lambda: 85
     found = directory.Directory(followed)
     await followed.read()
     source.put(fakes.snapshot(2, fakes.table(1)))
-    followed.turn_seconds = snapshots.TURNS_PART * 3.0
+    followed.read_delay_seconds = snapshots.READ_ORDER_FRACTION * 3.0
     nursery.start_soon(followed.run)
     await trio.sleep(2.5)
     assert found.of('chat') == []
--- a/tests/test_platform/test_platform_store.py
+++ b/tests/test_platform/test_platform_store.py
@@ -115,7 +115,7 @@
     known = await client.read()
     change()
     store.asked.clear()
-    raw = await store_reads.read_again(client, known)
+    raw = await store_reads.read_changes(client, known)
     calls = [asked.target for asked in store.asked]
     whole = await client.read()
     assert (raw, raw.digest) == (whole, whole.digest)
@@ -204,7 +204,7 @@
 async def test_small_configuration_is_read_in_one_call(store, client):
     known = await client.read()
     store.asked.clear()
-    await store_reads.read_again(client, known)
+    await store_reads.read_changes(client, known)
     assert len(store.asked) == 1
 
 
