--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -30,7 +30,7 @@
     """An upstream that leaves; the source is the revision that shows it."""
 
     max_seconds = MOST_SECONDS
-    sent_to_started = False
+    sent_to_starting = False
 
 
 @facts_module.FACT_KINDS.register(LEAVING)
--- a/lavenderbend/coordination/forwarding/facts.py
+++ b/lavenderbend/coordination/forwarding/facts.py
@@ -20,12 +20,12 @@
 # eight others drawn at random, a router misses it with a probability of 1 in
 # 3,000 at any fleet size. It receives a missed fact later, among the old facts
 # that each message carries.
-SENDS_PER_FACT = 8
+TRANSMISSIONS_PER_FACT = 8
 MAX_NEW_PER_MESSAGE = 6
 # Old facts in each message bring routers up to date after a network partition.
 MAX_OLD_PER_MESSAGE = 1
 # Latest facts that a router gets when it starts.
-MAX_SENT_TO_STARTED = 6
+MAX_SENT_TO_STARTING = 6
 # A fact received again counts as the same one although it seems younger by up
 # to this much: ages do not include the transit times of messages.
 SAME_FACT_SECONDS = 0.5
@@ -44,14 +44,14 @@
         max_seconds: Upper bound of a fact's validity, whatever the fact says.
         cleared_by: Kind of the facts that end all earlier facts of this kind
             on the same subject, empty if there is none.
-        sent_to_started: Whether a router that starts gets these facts at once.
+        sent_to_starting: Whether a router that starts gets these facts at once.
             False for what its first snapshot shows anyway, which would take
             the place of other facts.
     """
 
     max_seconds = 0.0
     cleared_by = ''
-    sent_to_started = True
+    sent_to_starting = True
 
 
 FACT_KINDS: registry.Registry[type[FactKind]] = registry.Registry(
@@ -89,11 +89,11 @@
 
     Attributes:
         fact: The fact.
-        send_count: How often this router sent it.
+        transmissions: How often this router sent it.
     """
 
     fact: Fact
-    send_count: int = 0
+    transmissions: int = 0
 
 
 class Facts:
@@ -108,7 +108,7 @@
         origin: Distinguishes this router's facts from those of others.
         on_new_fact: Called with each fact that is new to this router.
         entries: Facts by kind and subject, then by source.
-        unsent: Facts that were not sent `SENDS_PER_FACT` times yet.
+        unsent: Facts that were not sent `TRANSMISSIONS_PER_FACT` times yet.
         old_queue: Old facts in the order in which they are sent again.
         new_fact: Set when there is a fact that was not sent yet.
     """
@@ -208,7 +208,7 @@
             return False
         return fact.expires_at > trio.current_time()
 
-    def prune(self) -> None:
+    def remove_expired(self) -> None:
         """Removes expired facts, and the oldest above `MAX_FACTS`."""
         valid = [
             entry for entry in self.all_entries() if self.is_current(entry)
@@ -221,23 +221,23 @@
             by_source[fact.source] = entry
         FACTS.set({}, min(len(valid), MAX_FACTS))
 
-    def next_rows(self) -> list[list[str | int]]:
+    def rows_to_send(self) -> list[list[str | int]]:
         """Returns the facts of the next message and counts them as sent."""
         entries = [*self.next_new(), *self.next_old()]
         for entry in entries:
-            entry.send_count += 1
+            entry.transmissions += 1
         return [fact_row(entry.fact) for entry in entries]
 
-    def rows_for_started(self) -> list[list[str | int]]:
+    def rows_for_starting(self) -> list[list[str | int]]:
         """Returns the facts for a router that has just started."""
         valid = [
             entry.fact
             for entry in self.all_entries()
             if self.is_current(entry)
-            and FACT_KINDS.get(entry.fact.kind).sent_to_started
+            and FACT_KINDS.get(entry.fact.kind).sent_to_starting
         ]
         valid.sort(key=lambda fact: fact.found_at, reverse=True)
-        return [fact_row(fact) for fact in valid[:MAX_SENT_TO_STARTED]]
+        return [fact_row(fact) for fact in valid[:MAX_SENT_TO_STARTING]]
 
     def next_new(self) -> list[FactEntry]:
         """Returns the facts that were sent least often."""
@@ -250,9 +250,10 @@
         self.unsent = [
             entry
             for entry in self.unsent
-            if entry.send_count < SENDS_PER_FACT and self.is_current(entry)
+            if entry.transmissions < TRANSMISSIONS_PER_FACT
+            and self.is_current(entry)
         ]
-        self.unsent.sort(key=lambda entry: entry.send_count)
+        self.unsent.sort(key=lambda entry: entry.transmissions)
         return self.unsent[:MAX_NEW_PER_MESSAGE]
 
     def next_old(self) -> list[FactEntry]:
@@ -262,7 +263,10 @@
         chosen: list[FactEntry] = []
         while self.old_queue and len(chosen) < MAX_OLD_PER_MESSAGE:
             entry = self.old_queue.popleft()
-            if entry.send_count >= SENDS_PER_FACT and self.is_current(entry):
+            if (
+                entry.transmissions >= TRANSMISSIONS_PER_FACT
+                and self.is_current(entry)
+            ):
                 chosen.append(entry)
         return chosen
 
--- a/lavenderbend/coordination/forwarding/fleet_count.py
+++ b/lavenderbend/coordination/forwarding/fleet_count.py
@@ -66,7 +66,7 @@
             if zone != self.zone:
                 self.note(zone, routers, age / MILLISECONDS_PER_SECOND)
 
-    def gossip_rows(self) -> list[list[str | int]]:
+    def rows_to_send(self) -> list[list[str | int]]:
         """Returns the counts for a message, with ages in milliseconds."""
         now = trio.current_time()
         return [
--- a/lavenderbend/coordination/forwarding/members.py
+++ b/lavenderbend/coordination/forwarding/members.py
@@ -68,7 +68,7 @@
         zone: Its availability zone.
         seeds: Configured hosts, probed until a message from them arrives.
         clock: The suspension clock.
-        own_zone: The routers of this router's zone.
+        same_zone: The routers of this router's zone.
         other_zones: Router clock at which some routers of the other zones were
             last seen alive, by zone and host.
         by_host: Routers of which a message has arrived.
@@ -85,7 +85,7 @@
         self.zone = zone
         self.seeds = [seed for seed in seeds if seed != host]
         self.clock = clock
-        self.own_zone = zone_members.ZoneMembers(host)
+        self.same_zone = zone_members.ZoneMembers(host)
         self.other_zones: dict[str, dict[str, float]] = {}
         self.by_host: dict[str, Member] = {}
 
@@ -97,7 +97,7 @@
         """Returns whether a router was seen alive recently."""
         now = trio.current_time()
         if member.zone == self.zone:
-            seen_at = self.own_zone.last_seen.get(
+            seen_at = self.same_zone.last_seen.get(
                 member.host, member.received_at
             )
             return now - seen_at < zone_members.ALIVE_SECONDS
@@ -130,9 +130,9 @@
         """Records the host of a message's sender, by its zone."""
         if state.zone == self.zone:
             if state.leaving:
-                self.own_zone.remove(state.host)
+                self.same_zone.remove(state.host)
             else:
-                self.own_zone.note(state.host)
+                self.same_zone.note(state.host)
         elif not state.leaving:
             self.note_host(state.zone, state.host, 0.0)
 
@@ -141,7 +141,7 @@
         if host == self.host:
             return
         if zone == self.zone:
-            self.own_zone.note(host, age)
+            self.same_zone.note(host, age)
             return
         seen_at = trio.current_time() - age
         hosts = self.other_zones.setdefault(zone, {})
@@ -155,12 +155,12 @@
             for host, age in packed_rows.unpack_heard(packed):
                 self.note_host(zone, host, age)
 
-    def host_rows(
+    def rows_to_send(
         self, rng: random.Random, zone: str, new: bool
     ) -> list[list[str | bytes]]:
         """Returns the hosts of other zones for a message to a router.
 
-        The hosts of this router's own zone are sent with the times at which
+        The hosts of this router's zone are sent with the times at which
         they were last seen, in another field of the message.
 
         Args:
@@ -220,7 +220,7 @@
     def silent_hosts(self) -> list[str]:
         """Returns hosts that were not seen recently, seeds included."""
         oldest = trio.current_time() - OTHER_ZONE_ALIVE_SECONDS
-        silent = {*self.seeds, *self.own_zone.silent()}
+        silent = {*self.seeds, *self.same_zone.silent()}
         for hosts in self.other_zones.values():
             silent.update(
                 host for host, seen_at in hosts.items() if seen_at < oldest
@@ -230,12 +230,12 @@
             for member in self.by_host.values()
             if self.is_alive(member)
         ]
-        return sorted(silent.difference(alive, self.own_zone.alive()))
+        return sorted(silent.difference(alive, self.same_zone.alive()))
 
     def remove_expired(self) -> None:
         """Removes hosts that have not answered for `EXPIRY_SECONDS`."""
         oldest = trio.current_time() - EXPIRY_SECONDS
-        self.own_zone.remove_expired(EXPIRY_SECONDS)
+        self.same_zone.remove_expired(EXPIRY_SECONDS)
         for hosts in self.other_zones.values():
             for host in [
                 name for name, seen_at in hosts.items() if seen_at < oldest
--- a/lavenderbend/coordination/forwarding/owners.py
+++ b/lavenderbend/coordination/forwarding/owners.py
@@ -54,7 +54,7 @@
 
     def own_of_zone(self, upstream: int) -> str:
         """Returns the owner of an upstream of this router's zone."""
-        hosts = {self.host, *self.members.own_zone.alive()}
+        hosts = {self.host, *self.members.same_zone.alive()}
         return hashing.rendezvous(f'{upstream:08x}', hosts)
 
     def owning_zone(self, upstream: int, zone: str) -> str:
--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -37,8 +37,8 @@
 # For a router that has just started.
 STARTUP_INTERVAL_SECONDS = 0.1
 STARTUP_SECONDS = 3.0
-# Receivers in the own zone per gossip interval, at any number of routers.
-OWN_ZONE_FAN_OUT = 2
+# Receivers in the same zone per gossip interval, at any number of routers.
+SAME_ZONE_FAN_OUT = 2
 # Of all routers of a zone together to the other zones: traffic between zones is
 # expensive, and what one router of a zone receives it sends to the others.
 OTHER_ZONE_MESSAGES_PER_SECOND = 10.0
@@ -177,7 +177,7 @@
         """Returns this router's position in the order of store reads."""
         return read_order.position(
             self.host,
-            self.members.own_zone.alive(),
+            self.members.same_zone.alive(),
             self.zone,
             self.fleet.recent(),
         )
@@ -211,7 +211,7 @@
         """Removes expired entries and probes silent hosts."""
         while True:
             self.members.remove_expired()
-            self.facts.prune()
+            self.facts.remove_expired()
             self.prompts.tidy()
             self.owners.tidy()
             self.reservations.owned.tidy()
@@ -230,11 +230,11 @@
 
     def gossip(self) -> None:
         """Sends this router's state to some routers."""
-        own_zone = self.members.own_zone
-        alive = len(own_zone.alive()) + 1
+        neighbours = self.members.same_zone
+        alive = len(neighbours.alive()) + 1
         self.fleet.note(self.zone, alive)
         self.divisor.note(self.fleet_size())
-        for host in own_zone.choose(self.rng, OWN_ZONE_FAN_OUT):
+        for host in neighbours.choose(self.rng, SAME_ZONE_FAN_OUT):
             self.send(host, self.full_state(host))
         due = self.other_zone_rate(alive) * GOSSIP_INTERVAL_SECONDS / alive
         if self.rng.random() < due:
@@ -268,7 +268,7 @@
 
     def send_facts(self) -> None:
         """Sends new facts, also to other zones."""
-        hosts = self.members.own_zone.choose(self.rng, OWN_ZONE_FAN_OUT)
+        hosts = self.members.same_zone.choose(self.rng, SAME_ZONE_FAN_OUT)
         zones = sorted(self.members.other_zones)
         # On average as many routers of the zone as there are other zones send
         # the facts to another zone.
@@ -278,13 +278,13 @@
             )
             hosts += [] if other is None else [other]
         if not hosts:
-            self.facts.next_rows()
+            self.facts.rows_to_send()
         for host in hosts:
-            self.send(host, self.state(host, facts=self.facts.next_rows()))
+            self.send(host, self.state(host, facts=self.facts.rows_to_send()))
 
     def zone_size(self) -> int:
         """Returns the number of live routers of this zone."""
-        return len(self.members.own_zone.alive()) + 1
+        return len(self.members.same_zone.alive()) + 1
 
     def probe_silent(self) -> None:
         """Probes hosts that are not known to be alive."""
@@ -317,7 +317,7 @@
 
     def send_proof(self) -> None:
         """Sends the proof of a store read to other routers."""
-        hosts = self.members.own_zone.choose(self.rng, PROOF_FAN_OUT)
+        hosts = self.members.same_zone.choose(self.rng, PROOF_FAN_OUT)
         zones = sorted(self.members.other_zones)
         if len(zones) > MAX_PROOF_ZONES:
             zones = self.rng.sample(zones, MAX_PROOF_ZONES)
@@ -328,7 +328,7 @@
 
     def relay(self) -> None:
         """Sends a newer proof or snapshot to others of the zone."""
-        for host in self.members.own_zone.choose(self.rng, RELAY_FAN_OUT):
+        for host in self.members.same_zone.choose(self.rng, RELAY_FAN_OUT):
             self.send(host, self.state(host))
 
     def leave(self) -> None:
@@ -359,17 +359,17 @@
             host,
             reply_requested=reply_requested,
             bound=self.divisor.peak(),
-            zones=self.fleet.gossip_rows(),
-            facts=self.facts.rows_for_started()
+            zones=self.fleet.rows_to_send(),
+            facts=self.facts.rows_for_starting()
             if new
-            else self.facts.next_rows(),
+            else self.facts.rows_to_send(),
             # Other zones need only the number of routers.
-            heard=self.members.own_zone.packed_alive(self.rng)
+            heard=self.members.same_zone.rows_to_send(self.rng)
             if same_zone
             else b'',
             reports=self.loads.told_reports(far=not same_zone),
             requests=self.loads.told_requests(),
-            hosts=self.members.host_rows(self.rng, zone, new),
+            hosts=self.members.rows_to_send(self.rng, zone, new),
             prompts=self.prompts.told(far=not same_zone),
         )
 
@@ -429,7 +429,7 @@
     def merge(self, state: messages_forwarding.RouterState) -> None:
         """Merges the content of a message except the proof of freshness."""
         if state.zone == self.zone:
-            self.members.own_zone.merge(state.heard)
+            self.members.same_zone.merge(state.heard)
         self.members.merge_hosts(state.hosts)
         self.fleet.merge(state.zones)
         if trio.current_time() - self.started < MERGE_COUNT_SECONDS:
--- a/lavenderbend/coordination/forwarding/shared_freshness.py
+++ b/lavenderbend/coordination/forwarding/shared_freshness.py
@@ -37,7 +37,7 @@
 
     Attributes:
         host: That router.
-        own_zone: Whether it is in this router's zone.
+        same_zone: Whether it is in this router's zone.
         revision: Revision of the snapshot when it was offered.
         digest: Digest of the snapshot.
         proved_at: Time, by this router's suspension clock, at which the
@@ -45,7 +45,7 @@
     """
 
     host: str
-    own_zone: bool
+    same_zone: bool
     revision: int
     digest: int
     proved_at: float
@@ -53,7 +53,7 @@
     @property
     def rank(self) -> tuple[int, bool]:
         """Sort key; the higher of two offers is preferred."""
-        return self.revision, self.own_zone
+        return self.revision, self.same_zone
 
     def proof_of(self, snapshot: forwarding.Snapshot) -> float:
         """Returns the time at which a fetched snapshot was the newest.
@@ -86,7 +86,7 @@
         on_fetched: Called when a snapshot was fetched from another router.
         offer: The best offer of a newer snapshot.
         has_offer: Set when there is an offer to fetch.
-        has_own_zone_offer: Set when a router of the own zone has made one.
+        has_same_zone_offer: Set when a router of the same zone has made one.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self.on_fetched: Callable[[], None] = lambda: None
         self.offer: SnapshotOffer | None = None
         self.has_offer = trio.Event()
-        self.has_own_zone_offer = trio.Event()
+        self.has_same_zone_offer = trio.Event()
 
     def note(self, state: messages_forwarding.RouterState) -> float:
         """Takes over a proof, or records the offer of a newer snapshot.
@@ -146,8 +146,8 @@
             return
         self.offer = offer
         self.has_offer.set()
-        if offer.own_zone:
-            self.has_own_zone_offer.set()
+        if offer.same_zone:
+            self.has_same_zone_offer.set()
 
     def proved_at(self, state: messages_forwarding.RouterState) -> float:
         """Returns the time of a peer's proof, by this router's clock.
@@ -170,28 +170,28 @@
         """Fetches newer snapshots from the routers that offered them."""
         while True:
             await self.has_offer.wait()
-            await self.wait_for_own_zone()
+            await self.wait_for_same_zone()
             offer = self.offer
             self.has_offer = trio.Event()
-            self.has_own_zone_offer = trio.Event()
+            self.has_same_zone_offer = trio.Event()
             await self.fetch(offer)
             await trio.sleep(
                 FETCH_INTERVAL_FRACTION * self.snapshots.settings.apply_seconds
             )
 
-    async def wait_for_own_zone(self) -> None:
-        """Waits briefly for an offer from a router of the own zone.
+    async def wait_for_same_zone(self) -> None:
+        """Waits briefly for an offer from a router of the same zone.
 
         Without this every router of a zone would fetch a configuration from
         another zone, and it would be transferred between zones as often as
         there are routers.
         """
-        if self.offer.own_zone:
+        if self.offer.same_zone:
             return
         max_seconds = WAIT_SECONDS_PER_ROUTER * (self.zone_size() - 1)
         max_seconds = min(max_seconds, MAX_WAIT_SECONDS)
         with trio.move_on_after(max_seconds * self.snapshots.rng.random()):
-            await self.has_own_zone_offer.wait()
+            await self.has_same_zone_offer.wait()
 
     async def fetch(self, offer: SnapshotOffer) -> None:
         """Fetches a snapshot; if this fails, a later store read provides it."""
--- a/lavenderbend/coordination/forwarding/zone_members.py
+++ b/lavenderbend/coordination/forwarding/zone_members.py
@@ -50,7 +50,7 @@
             if age < ALIVE_SECONDS:
                 self.note(host, age)
 
-    def packed_alive(self, rng: random.Random) -> bytes:
+    def rows_to_send(self, rng: random.Random) -> bytes:
         """Returns routers that are alive, a random sample if many, packed."""
         now = trio.current_time()
         alive = self.alive()
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -140,7 +140,7 @@
         state = 'alive' if members.is_alive(member) else 'silent'
         state = 'leaving' if member.leaving else state
         yield router_row(member.name, member.zone, state)
-    near = set(members.own_zone.alive())
+    near = set(members.same_zone.alive())
     silent = {*members.silent_hosts()}
     for host in sorted((near | silent) - members.by_host.keys()):
         zone = members.zone if host in near else ''
--- a/tests/test_coordination/test_forwarding_fleet.py
+++ b/tests/test_coordination/test_forwarding_fleet.py
@@ -159,7 +159,7 @@
     begin = trio.current_time()
     while any('10.0.0.9' in one.alive() for one in known):
         for teller in known:
-            rows = teller.packed_alive(random.Random(1))
+            rows = teller.rows_to_send(random.Random(1))
             for other in known:
                 other.merge(rows)
         await trio.sleep(0.01)
--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -68,7 +68,7 @@
 ):
     # guards against taking a slow router for a store that was away
     node = fleet.routers[HOSTS[3]]
-    del node.peers.on_learned[departures.LEFT]
+    del node.peers.fact_callbacks[departures.LEFT]
     slow(node)
     both = fakes.upstream('e1'), fakes.upstream('e2')
     await put_versions(fleet, *both, seconds=2.5)
@@ -97,7 +97,7 @@
 async def test_entry_that_is_written_again_is_used_again(fleet, autojump_clock):
     # guards against taking a partition from the store for the last word
     for router in fleet.routers.values():
-        router.snapshots.back_at = float('-inf')
+        router.snapshots.recovered_at = float('-inf')
     fleet.put(fakes.snapshot(2, fakes.table(1), fakes.upstream('e2')))
     await trio.sleep(1.5)
     again = fakes.upstream('e1', revision=3)
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -360,7 +360,7 @@
         upstream = chats.placing.chooser.directory.known(name)
         for _ in range(bound):
             found = await owners.ask(upstream, PROMPT, 5.0)
-            assert found is not None, (name, owners.owners.members.far)
+            assert found is not None, (name, owners.owners.members.other_zones)
             owners.note(found, BEGUN, 0)
     await trio.sleep(0.5)
     found = await chats.placing.choose(ticket())
--- a/tests/test_coordination/test_forwarding_reading.py
+++ b/tests/test_coordination/test_forwarding_reading.py
@@ -28,7 +28,7 @@
 def in_turn(fleet):
     """Returns the routers in the order in which they read."""
     nodes = fleet.routers.values()
-    return sorted(nodes, key=lambda node: node.peers.reading_place())
+    return sorted(nodes, key=lambda node: node.peers.read_position())
 
 
 async def reads_of(fleet, node, seconds):
@@ -38,7 +38,7 @@
 
 
 async def test_routers_agree_on_their_places(fleet, autojump_clock):
-    places = [node.peers.reading_place() for node in fleet.routers.values()]
+    places = [node.peers.read_position() for node in fleet.routers.values()]
     assert sorted(places) == [0, 1, 2, 3]
 
 
--- a/tests/test_transport/test_forwarding_operators.py
+++ b/tests/test_transport/test_forwarding_operators.py
@@ -203,8 +203,8 @@
 async def test_status_lists_upstreams_and_rules(subject, autojump_clock):
     await subject.router.ask()
     members = subject.peers.members
-    members.near.note('127.0.0.3')
-    members.learn('sala-b', '127.0.0.4', 30.0)
+    members.same_zone.note('127.0.0.3')
+    members.note_host('sala-b', '127.0.0.4', 30.0)
     subject.peers.tick()
     subject.router.health.note_unreachable('e2')
     status, found = await subject.call('GET', '/v1/status')
