--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -36,7 +36,7 @@
     end = trio.current_time() + seconds
     revision = fleet.content.revision
     for number in itertools.count(revision + 1):
-        fleet.put(fakes.snapshot(number, fakes.table(number), *found))
+        fleet.set_content(fakes.snapshot(number, fakes.table(number), *found))
         if trio.current_time() + 0.7 > end:
             break
         await trio.sleep(0.7)
@@ -98,10 +98,10 @@
     # guards against taking a partition from the store for the last word
     for router in fleet.routers.values():
         router.snapshots.recovered_at = float('-inf')
-    fleet.put(fakes.snapshot(2, fakes.table(1), fakes.upstream('e2')))
+    fleet.set_content(fakes.snapshot(2, fakes.table(1), fakes.upstream('e2')))
     await trio.sleep(1.5)
     again = fakes.upstream('e1', revision=3)
-    fleet.put(fakes.snapshot(3, fakes.table(1), again, fakes.upstream('e2')))
+    fleet.set_content(fakes.snapshot(3, fakes.table(1), again, fakes.upstream('e2')))
     await trio.sleep(1.5)
     assert [names(node) for node in fleet.routers.values()] == [
         ['e1', 'e2']
--- a/tests/test_transport/test_forwarding_operators.py
+++ b/tests/test_transport/test_forwarding_operators.py
@@ -205,7 +205,7 @@
     members = subject.peers.members
     members.same_zone.note('127.0.0.3')
     members.note_host('sala-b', '127.0.0.4', 30.0)
-    subject.peers.tick()
+    subject.peers.gossip()
     subject.router.health.note_unreachable('e2')
     status, found = await subject.call('GET', '/v1/status')
     assert status == 200
