--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -1,4 +1,4 @@
-"""The decisions of a forwarding router, one by one."""
+"""Decisions of a forwarding router: choice, caches, budget, events, health."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from tests import forwarding_fakes as fakes
 
 ZONES = ('sala-a', 'sala-b', 'sala-c')
-# prompts of long answers are short
+# Token counts of the parts. Requests with long answers have short prompts.
 LONG_PROMPT = (2500, 6100, 580)
 LONG_ANSWER = (100, 500, 110)
 
 
-class World:
+class Selection:
     def __init__(self):
         self.followed = snapshots.Snapshots(
             fakes.Source(), snapshots.FollowSettings(), fakes.random.Random(1)
@@ -42,10 +42,10 @@
         )
         self.revision = 0
 
-    def set(self, *found):
+    def set_upstreams(self, *upstreams):
         self.revision += 1
         self.followed.accept(
-            fakes.snapshot(self.revision, fakes.table(), *found),
+            fakes.snapshot(self.revision, fakes.table(), *upstreams),
             self.followed.clock(),
         )
 
@@ -61,9 +61,9 @@
 
 @pytest.fixture
 async def world(autojump_clock):
-    world = World()
+    world = Selection()
     await trio.sleep(100.0)
-    world.set(
+    world.set_upstreams(
         *(
             fakes.upstream(f'e{n}', zone=ZONES[n % 3], slots=64)
             for n in range(6)
@@ -95,25 +95,26 @@
         assert choice.parse_parts(text) == ()
 
 
-async def test_chat_has_one_place_whichever_router_it_comes_to(
+async def test_all_routers_choose_the_same_upstream_for_a_chat(
     world, autojump_clock
 ):
-    # Each zone read each file for itself: half of all prompt tokens were
-    # parts that another engine had read before.
+    # Guards against a separate choice in each zone: each zone processed each
+    # file for itself, and half of all prompt tokens were parts that another
+    # engine had processed before.
     for chat in range(50):
         for kind in (LONG_PROMPT, LONG_ANSWER):
-            places = {
+            instances = {
                 chosen(world, chat, zone, kind).upstream.instance
                 for zone in ZONES
             }
-            assert len(places) == 1
+            assert len(instances) == 1
 
 
 async def test_leaving_upstream_moves_only_its_own_chats(world, autojump_clock):
     before = {chat: chosen(world, chat).upstream.instance for chat in range(99)}
     found = dict(world.followed.current.upstreams)
     del found['e3']
-    world.set(*found.values())
+    world.set_upstreams(*found.values())
     for chat, instance in before.items():
         now = chosen(world, chat).upstream.instance
         assert (now == instance) or instance == 'e3'
@@ -122,8 +123,8 @@
 async def test_no_upstream_is_loaded_above_the_multiple_of_the_mean(
     world, autojump_clock
 ):
-    # All chats are one hot chat; its upstream takes what the bound allows,
-    # the rest goes elsewhere.
+    # All requests belong to one chat. Its upstream gets as many as the bound
+    # allows, and the others go to other upstreams.
     for _ in range(60):
         world.loads.begin(chosen(world, 'hot').upstream.instance)
         held = [world.loads.load(f'e{n}') for n in range(6)]
@@ -133,25 +134,28 @@
 async def test_avoided_upstream_is_used_when_there_is_no_other(
     world, autojump_clock
 ):
-    world.set(fakes.upstream('e0'))
+    world.set_upstreams(fakes.upstream('e0'))
     world.health.note_unreachable('e0')
     found = chosen(world, 1)
     assert (found.upstream.instance, found.reason) == ('e0', choice.AVOIDED)
 
 
-async def test_service_without_upstreams_has_no_choice(world, autojump_clock):
-    world.set()
+async def test_service_without_upstreams_gives_no_upstream(
+    world, autojump_clock
+):
+    world.set_upstreams()
     assert chosen(world, 1).upstream is None
 
 
-async def test_chat_that_moved_is_copied_from_where_it_was(
+async def test_moved_chat_is_copied_from_its_former_upstream(
     world, autojump_clock
 ):
-    # An upstream comes, and a sixth of the chats moves there. Each would be
-    # read anew, though the upstream it was at still has it.
+    # Guards against prompts that are processed again after a scale-up: an
+    # upstream is added, and a sixth of the chats moves there, although their
+    # former upstreams still have the prompts cached.
     before = {chat: chosen(world, chat).upstream.instance for chat in range(99)}
     found = world.followed.current.upstreams.values()
-    world.set(*found, fakes.upstream('e9', zone='sala-b'))
+    world.set_upstreams(*found, fakes.upstream('e9', zone='sala-b'))
     moved = 0
     for chat, instance in before.items():
         now = chosen(world, chat).upstream
@@ -167,17 +171,17 @@
     assert 5 <= moved <= 30
 
 
-async def test_nothing_is_copied_from_who_is_gone_or_silent(
+async def test_nothing_is_copied_from_removed_or_unreachable_upstreams(
     world, autojump_clock
 ):
     found = dict(world.followed.current.upstreams)
     before = chosen(world, 7).upstream.instance
     gone = found.pop(before)
-    world.set(*found.values())
+    world.set_upstreams(*found.values())
     now = chosen(world, 7).upstream
     source = world.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
-    world.set(*found.values(), fakes.upstream(before, leaving=True))
+    world.set_upstreams(*found.values(), fakes.upstream(before, leaving=True))
     source = world.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source.upstream.instance == gone.instance
     world.health.note_unreachable(before)
@@ -185,15 +189,15 @@
     assert source is None or source.upstream.instance != before
 
 
-async def test_chat_over_the_bound_is_copied_from_its_first_place(
+async def test_chat_over_the_bound_is_copied_from_its_preferred_upstream(
     world, autojump_clock
 ):
-    # Upstreams registered one after the other before the first caller came.
-    # A chat whose place was full looked for its prompt where its place would
-    # have been among the first of them, and was read anew.
+    # Upstreams registered one after the other before the first request. For a
+    # chat whose preferred upstream was full, the prompt was looked up at the
+    # upstream preferred among the earlier ones, and was processed again.
     found = list(world.followed.current.upstreams.values())
     for count in range(1, len(found) + 1):
-        world.set(*found[:count])
+        world.set_upstreams(*found[:count])
     for chat in range(50):
         first = chosen(world, chat).upstream.instance
         for _ in range(20):
@@ -207,12 +211,13 @@
             world.loads.end(first)
 
 
-async def test_first_part_of_a_new_chat_is_copied_from_who_holds_it(
+async def test_shared_prefix_of_a_new_chat_is_copied_from_its_holder(
     world, autojump_clock
 ):
-    # A day begins: chats are new, and many begin with the same long text. It
-    # was looked for at one upstream worked out from its name, which had read
-    # it no sooner than the others: each of sixty upstreams read it anew.
+    # At the start of a day chats are new, and many begin with the same long
+    # text. It was looked up at one upstream computed from its name, which had
+    # processed it no earlier than the others, so each of sixty upstreams
+    # processed it again.
     first = chosen(world, 1).upstream
     assert world.cached.source('chat', 'chat-1', need(1).parts, first) is None
     world.cached.note_sent('chat-1', need(1).parts, first.instance)
@@ -232,12 +237,13 @@
     assert source is None or source.upstream != first
 
 
-async def test_chat_that_was_served_elsewhere_is_copied_from_there(
+async def test_chat_is_copied_from_the_upstream_that_last_served_it(
     world, autojump_clock
 ):
-    # The place of a chat is full for a moment, and another router has it
-    # served elsewhere. At its next request the place has room, and reads the
-    # whole prompt anew, though an upstream holds it that one could ask.
+    # The preferred upstream of a chat is full for a moment, and another router
+    # sends the chat to another one. At the next request the preferred upstream
+    # has capacity, and processed the whole prompt again although it could be
+    # copied from the other upstream.
     first = chosen(world, 7).upstream
     for _ in range(40):
         world.loads.begin(first.instance)
@@ -255,7 +261,7 @@
     assert source.why == cached_prompts.SERVED_THERE
 
 
-async def test_holders_of_a_first_part_are_told_and_forgotten(autojump_clock):
+async def test_holders_of_a_shared_prefix_are_sent_and_expire(autojump_clock):
     parts = need(1).parts
     one = prompt_holders.PromptHolders()
     other = prompt_holders.PromptHolders()
@@ -272,7 +278,7 @@
     assert other.told(far=True) == b''
 
 
-async def test_latest_holders_of_a_chat_stay(autojump_clock):
+async def test_latest_holders_of_a_chat_are_kept(autojump_clock):
     known = prompt_holders.PromptHolders()
     for instance in ('e1', 'e2', 'e3', 'e4'):
         known.note_chat('chat-1', instance)
@@ -281,9 +287,9 @@
     assert known.of_chat('chat-1') == names
 
 
-async def test_parts_that_begin_one_chat_each_stay_few(autojump_clock):
-    # Each chat begins with a text of its own: there is nothing to share, and
-    # its routers must not tell each other of each.
+async def test_prefixes_of_single_chats_are_bounded(autojump_clock):
+    # Each chat begins with a text of its own. There is nothing to share, and
+    # routers must not send each other every prefix.
     known = prompt_holders.PromptHolders()
     for chat in range(prompt_holders.MAX_FIRST_PARTS + 50):
         parts = choice.parse_parts(f'{chat:x}:100,c{chat:x}:900,f:10')
@@ -292,9 +298,9 @@
     assert len(known.told(far=False)) <= 9 * prompt_holders.MAX_NEAR_TOLD
 
 
-async def test_what_is_told_of_holders_is_bounded(autojump_clock):
-    # In an overload nearly all chats are served elsewhere than at their
-    # places: what was told longest ago is left out.
+async def test_holders_to_send_are_bounded(autojump_clock):
+    # In an overload nearly all chats are served by other upstreams than their
+    # preferred ones: the entries sent longest ago are left out.
     known = prompt_holders.PromptHolders()
     for chat in range(3 * prompt_holders.MAX_WAITING):
         known.note_chat(f'chat-{chat}', 'e1')
@@ -305,11 +311,12 @@
     assert messages <= rows / prompt_holders.MAX_NEAR_TOLD + 1
 
 
-async def test_upstream_that_fails_requests_still_hands_out_its_cache(
+async def test_cache_is_copied_from_an_upstream_that_fails_requests(
     world, autojump_clock
 ):
-    # An engine garbles its answers and is avoided for a second. Its chats
-    # move, and each was read anew though the engine has them cached.
+    # An engine sends corrupt answers and is avoided for a second. Its chats move
+    # to other upstreams, and each prompt was processed again although the
+    # engine has it cached.
     before = chosen(world, 7).upstream.instance
     others = [f'e{n}' for n in range(6)]
     for _ in range(4):
@@ -324,7 +331,7 @@
     assert source is None or source.upstream.instance != before
 
 
-async def test_report_of_an_upstream_counts_with_what_was_sent_since(
+async def test_reported_load_counts_with_requests_sent_since(
     autojump_clock,
 ):
     known = loads.Loads()
@@ -342,9 +349,9 @@
     assert 'e2' not in known.reports
 
 
-async def test_parts_of_the_budget_stay_under_the_whole(autojump_clock):
-    # Seven routers that hear nothing of each other, and every request fails:
-    # together they repeat no more than the fleet may in any window.
+async def test_shares_of_the_budget_stay_below_the_whole(autojump_clock):
+    # Seven routers exchange no messages and every request fails: together they
+    # retry no more than the fleet may in any window.
     settings = budget.RepeatSettings(0.2, 54.0, 10.0)
     routers = [budget.RepeatBudget(settings, lambda: 7) for _ in range(7)]
     repeats = collections.deque()
@@ -365,7 +372,7 @@
     assert repeats
 
 
-async def test_router_that_knows_no_fleet_takes_no_part(autojump_clock):
+async def test_router_without_a_fleet_size_has_no_share(autojump_clock):
     one = budget.RepeatBudget(budget.RepeatSettings(0.2, 54.0), lambda: 0)
     assert not any(one.try_take('desk') for _ in range(100))
     for _ in range(100):
@@ -373,14 +380,14 @@
     assert sum(one.try_take('desk') for _ in range(100)) == 16
 
 
-async def test_budget_of_one_service_is_not_that_of_another(autojump_clock):
+async def test_budgets_of_services_are_separate(autojump_clock):
     one = budget.RepeatBudget(budget.RepeatSettings(0.0, 10.0), lambda: 1)
     while one.try_take('desk'):
         pass
     assert one.try_take('chat')
 
 
-def test_events_are_cut_where_they_end():
+def test_events_are_split_at_their_ends():
     whole = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
     for cut in range(len(whole)):
         cutter = events.EventCutter()
@@ -391,9 +398,10 @@
         assert cutter.read.number == 2
 
 
-def test_events_that_were_not_written_are_asked_for_again():
-    # Two events were read; the write of the second was cut. The upstream that
-    # goes on must begin with it, and its numbers are checked from there.
+def test_unwritten_events_are_requested_again():
+    # Two events were read, and the write of the second was cancelled. The
+    # upstream that resumes the stream must begin with the second event, and
+    # event numbers are checked from there.
     cutter = events.EventCutter()
     cutter.feed(b'id: 1\ndata: a\n\n')
     cutter.note_written()
@@ -405,7 +413,7 @@
     assert cutter.feed(b'id: 2\ndata: b\n\n')
 
 
-async def test_upstream_is_asked_to_go_on_behind_what_was_written():
+async def test_upstream_resumes_after_the_last_written_event():
     one = fakes.upstream('e1')
     content = fakes.snapshot(1, fakes.table(), one)
     router = fakes.Router(content, fakes.Exchanges(e1=[fakes.reply()]))
@@ -419,13 +427,13 @@
 
 
 @pytest.mark.parametrize('number', [1, 2, 4])
-def test_event_out_of_order_is_refused(number):
+def test_event_out_of_order_is_rejected(number):
     cutter = events.EventCutter(2)
     with pytest.raises(errors.AnswerContradicts):
         cutter.feed(b'id: %d\ndata: a\n\n' % number)
 
 
-def test_event_without_end_is_bounded():
+def test_unterminated_event_is_bounded():
     cutter = events.EventCutter()
     with pytest.raises(errors.UpstreamBroke):
         for _ in range(100):
@@ -446,9 +454,9 @@
 
 
 async def test_upstreams_that_all_fail_alike_are_all_used(autojump_clock):
-    # All engines of a service answer half of their requests with 500. To
-    # avoid one after the other moves each chat to where nothing of its
-    # prompt is cached, and it fails there as often.
+    # All engines of a service answer half of their requests with 500. Avoiding
+    # one after the other moves each chat to an engine without its prompt in the
+    # cache, where it fails as often.
     known = health.Health()
     names = ['e1', 'e2', 'e3']
     for number in range(60):
@@ -464,8 +472,8 @@
     assert known.held_back() == {'e1'}
 
 
-async def test_few_failures_among_many_successes_are_borne(autojump_clock):
-    # one request in seven fails by itself, whatever upstream runs it
+async def test_few_failures_among_many_successes_are_tolerated(autojump_clock):
+    # One request in seven fails at any upstream.
     known = health.Health()
     for number in range(200):
         if number % 7 == 0:
