--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -60,16 +60,16 @@
 
 
 @pytest.fixture
-async def world(autojump_clock):
-    world = Selection()
+async def selection(autojump_clock):
+    selection = Selection()
     await trio.sleep(100.0)
-    world.set_upstreams(
+    selection.set_upstreams(
         *(
             fakes.upstream(f'e{n}', zone=ZONES[n % 3], slots=64)
             for n in range(6)
         )
     )
-    return world
+    return selection
 
 
 def need(chat, kind=LONG_PROMPT):
@@ -81,8 +81,8 @@
     return choice.Need(parts)
 
 
-def chosen(world, chat, zone='sala-a', kind=LONG_PROMPT):
-    return world.chooser(zone).choose('chat', need(chat, kind), (), 't')
+def chosen(selection, chat, zone='sala-a', kind=LONG_PROMPT):
+    return selection.chooser(zone).choose('chat', need(chat, kind), (), 't')
 
 
 def test_parts_of_a_prompt():
@@ -96,7 +96,7 @@
 
 
 async def test_all_routers_choose_the_same_upstream_for_a_chat(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # Guards against a separate choice in each zone: each zone processed each
     # file for itself, and half of all prompt tokens were parts that another
@@ -104,159 +104,171 @@
     for chat in range(50):
         for kind in (LONG_PROMPT, LONG_ANSWER):
             instances = {
-                chosen(world, chat, zone, kind).upstream.instance
+                chosen(selection, chat, zone, kind).upstream.instance
                 for zone in ZONES
             }
             assert len(instances) == 1
 
 
-async def test_leaving_upstream_moves_only_its_own_chats(world, autojump_clock):
-    before = {chat: chosen(world, chat).upstream.instance for chat in range(99)}
-    found = dict(world.followed.current.upstreams)
+async def test_leaving_upstream_moves_only_its_own_chats(
+    selection, autojump_clock
+):
+    before = {
+        chat: chosen(selection, chat).upstream.instance for chat in range(99)
+    }
+    found = dict(selection.followed.current.upstreams)
     del found['e3']
-    world.set_upstreams(*found.values())
+    selection.set_upstreams(*found.values())
     for chat, instance in before.items():
-        now = chosen(world, chat).upstream.instance
+        now = chosen(selection, chat).upstream.instance
         assert (now == instance) or instance == 'e3'
 
 
 async def test_no_upstream_is_loaded_above_the_multiple_of_the_mean(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # All requests belong to one chat. Its upstream gets as many as the bound
     # allows, and the others go to other upstreams.
     for _ in range(60):
-        world.loads.begin(chosen(world, 'hot').upstream.instance)
-        held = [world.loads.load(f'e{n}') for n in range(6)]
+        selection.loads.begin(chosen(selection, 'hot').upstream.instance)
+        held = [selection.loads.load(f'e{n}') for n in range(6)]
         assert max(held) <= 2.0 * sum(held) / 6 + 3
 
 
 async def test_avoided_upstream_is_used_when_there_is_no_other(
-    world, autojump_clock
+    selection, autojump_clock
 ):
-    world.set_upstreams(fakes.upstream('e0'))
-    world.health.note_unreachable('e0')
-    found = chosen(world, 1)
+    selection.set_upstreams(fakes.upstream('e0'))
+    selection.health.note_unreachable('e0')
+    found = chosen(selection, 1)
     assert (found.upstream.instance, found.reason) == ('e0', choice.AVOIDED)
 
 
 async def test_service_without_upstreams_gives_no_upstream(
-    world, autojump_clock
+    selection, autojump_clock
 ):
-    world.set_upstreams()
-    assert chosen(world, 1).upstream is None
+    selection.set_upstreams()
+    assert chosen(selection, 1).upstream is None
 
 
 async def test_moved_chat_is_copied_from_its_former_upstream(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # Guards against prompts that are processed again after a scale-up: an
     # upstream is added, and a sixth of the chats moves there, although their
     # former upstreams still have the prompts cached.
-    before = {chat: chosen(world, chat).upstream.instance for chat in range(99)}
-    found = world.followed.current.upstreams.values()
-    world.set_upstreams(*found, fakes.upstream('e9', zone='sala-b'))
+    before = {
+        chat: chosen(selection, chat).upstream.instance for chat in range(99)
+    }
+    found = selection.followed.current.upstreams.values()
+    selection.set_upstreams(*found, fakes.upstream('e9', zone='sala-b'))
     moved = 0
     for chat, instance in before.items():
-        now = chosen(world, chat).upstream
+        now = chosen(selection, chat).upstream
         if now.instance == instance:
             continue
         moved += 1
         parts = need(chat).parts
-        source = world.cached.source('chat', f'chat-{chat}', parts, now)
+        source = selection.cached.source('chat', f'chat-{chat}', parts, now)
         assert source.upstream.instance == instance
-        world.cached.note_sent(f'chat-{chat}', parts, now.instance)
-        again = world.cached.source('chat', f'chat-{chat}', parts, now)
+        selection.cached.note_sent(f'chat-{chat}', parts, now.instance)
+        again = selection.cached.source('chat', f'chat-{chat}', parts, now)
         assert again is None
     assert 5 <= moved <= 30
 
 
 async def test_nothing_is_copied_from_removed_or_unreachable_upstreams(
-    world, autojump_clock
+    selection, autojump_clock
 ):
-    found = dict(world.followed.current.upstreams)
-    before = chosen(world, 7).upstream.instance
+    found = dict(selection.followed.current.upstreams)
+    before = chosen(selection, 7).upstream.instance
     gone = found.pop(before)
-    world.set_upstreams(*found.values())
-    now = chosen(world, 7).upstream
-    source = world.cached.source('chat', 'chat-7', need(7).parts, now)
+    selection.set_upstreams(*found.values())
+    now = chosen(selection, 7).upstream
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
-    world.set_upstreams(*found.values(), fakes.upstream(before, leaving=True))
-    source = world.cached.source('chat', 'chat-7', need(7).parts, now)
+    selection.set_upstreams(
+        *found.values(), fakes.upstream(before, leaving=True)
+    )
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source.upstream.instance == gone.instance
-    world.health.note_unreachable(before)
-    source = world.cached.source('chat', 'chat-7', need(7).parts, now)
+    selection.health.note_unreachable(before)
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
 
 
 async def test_chat_over_the_bound_is_copied_from_its_preferred_upstream(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # Upstreams registered one after the other before the first request. For a
     # chat whose preferred upstream was full, the prompt was looked up at the
     # upstream preferred among the earlier ones, and was processed again.
-    found = list(world.followed.current.upstreams.values())
+    found = list(selection.followed.current.upstreams.values())
     for count in range(1, len(found) + 1):
-        world.set_upstreams(*found[:count])
+        selection.set_upstreams(*found[:count])
     for chat in range(50):
-        first = chosen(world, chat).upstream.instance
+        first = chosen(selection, chat).upstream.instance
         for _ in range(20):
-            world.loads.begin(first)
-        now = chosen(world, chat).upstream
+            selection.loads.begin(first)
+        now = chosen(selection, chat).upstream
         assert now.instance != first
         parts = need(chat).parts
-        source = world.cached.source('chat', f'chat-{chat}', parts, now)
+        source = selection.cached.source('chat', f'chat-{chat}', parts, now)
         assert source.upstream.instance == first
         for _ in range(20):
-            world.loads.end(first)
+            selection.loads.end(first)
 
 
 async def test_shared_prefix_of_a_new_chat_is_copied_from_its_holder(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # At the start of a day chats are new, and many begin with the same long
     # text. It was looked up at one upstream computed from its name, which had
     # processed it no earlier than the others, so each of sixty upstreams
     # processed it again.
-    first = chosen(world, 1).upstream
-    assert world.cached.source('chat', 'chat-1', need(1).parts, first) is None
-    world.cached.note_sent('chat-1', need(1).parts, first.instance)
-    others = [c for c in range(40) if chosen(world, c).upstream != first]
+    first = chosen(selection, 1).upstream
+    assert (
+        selection.cached.source('chat', 'chat-1', need(1).parts, first) is None
+    )
+    selection.cached.note_sent('chat-1', need(1).parts, first.instance)
+    others = [c for c in range(40) if chosen(selection, c).upstream != first]
     assert others
     for chat in others:
-        now = chosen(world, chat).upstream
-        source = world.cached.source(
+        now = chosen(selection, chat).upstream
+        source = selection.cached.source(
             'chat', f'chat-{chat}', need(chat).parts, now
         )
         assert source.upstream == first
         assert source.why == cached_prompts.FIRST_PART
-    world.health.note_unreachable(first.instance)
+    selection.health.note_unreachable(first.instance)
     chat = others[0]
-    now = chosen(world, chat).upstream
-    source = world.cached.source('chat', f'chat-{chat}', need(chat).parts, now)
+    now = chosen(selection, chat).upstream
+    source = selection.cached.source(
+        'chat', f'chat-{chat}', need(chat).parts, now
+    )
     assert source is None or source.upstream != first
 
 
 async def test_chat_is_copied_from_the_upstream_that_last_served_it(
-    world, autojump_clock
+    selection, autojump_clock
 ):
     # The preferred upstream of a chat is full for a moment, and another router
     # sends the chat to another one. At the next request the preferred upstream
     # has capacity, and processed the whole prompt again although it could be
     # copied from the other upstream.
-    first = chosen(world, 7).upstream
+    first = chosen(selection, 7).upstream
     for _ in range(40):
-        world.loads.begin(first.instance)
-    spilled = chosen(world, 7)
+        selection.loads.begin(first.instance)
+    spilled = chosen(selection, 7)
     assert spilled.passed_over
     told = prompt_holders.PromptHolders()
     told.note_chat('chat-7', spilled.upstream.instance)
-    world.holders.take(told.told(far=False))
+    selection.holders.take(told.told(far=False))
     for _ in range(40):
-        world.loads.end(first.instance)
-    again = chosen(world, 7).upstream
+        selection.loads.end(first.instance)
+    again = chosen(selection, 7).upstream
     assert again == first
-    source = world.cached.source('chat', 'chat-7', need(7).parts, again)
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, again)
     assert source.upstream == spilled.upstream
     assert source.why == cached_prompts.SERVED_THERE
 
@@ -312,22 +324,22 @@
 
 
 async def test_cache_is_copied_from_an_upstream_that_fails_requests(
-    world, autojump_clock
+    selection, autojump_clock
 ):
-    # An engine sends corrupt answers and is avoided for a second. Its chats move
+    # An engine sends corrupt answers and is avoided for a second. Its chats go
     # to other upstreams, and each prompt was processed again although the
     # engine has it cached.
-    before = chosen(world, 7).upstream.instance
+    before = chosen(selection, 7).upstream.instance
     others = [f'e{n}' for n in range(6)]
     for _ in range(4):
-        world.health.note_failure(before, others)
-    now = chosen(world, 7).upstream
+        selection.health.note_failure(before, others)
+    now = chosen(selection, 7).upstream
     assert now.instance != before
-    source = world.cached.source('chat', 'chat-7', need(7).parts, now)
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source.upstream.instance == before
     assert source.why == cached_prompts.FIRST_PLACE
-    world.health.note_silent(before)
-    source = world.cached.source('chat', 'chat-7', need(7).parts, now)
+    selection.health.note_silent(before)
+    source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
 
 
