--- a/lavenderbend/coordination/forwarding/directory.py
+++ b/lavenderbend/coordination/forwarding/directory.py
@@ -82,7 +82,7 @@
     def apply_snapshot(self, snapshot: forwarding.Snapshot) -> None:
         """Replaces the upstreams of all services by those of a snapshot."""
         self.replaced &= snapshot.upstreams.keys()
-        self.leaving.forget(snapshot, self.followed.kept)
+        self.leaving.forget(snapshot, self.followed.retained)
         before = self.by_service
         by_service: dict[str, list[forwarding.Upstream]] = {}
         for upstream in snapshot.upstreams.values():
@@ -107,7 +107,7 @@
         """
         current = self.followed.current
         known = current is None or current.revision >= revision
-        if known and instance not in self.followed.kept:
+        if known and instance not in self.followed.retained:
             # This router's snapshot shows it already, or is not read yet.
             return False
         self.leaving.note_left(instance, revision)
@@ -126,7 +126,7 @@
 
     def drop(self, instance: str) -> bool:
         """Removes an upstream that leaves; returns whether it was present."""
-        if instance in self.followed.kept:
+        if instance in self.followed.retained:
             return True
         for service, before in self.by_service.items():
             upstream = before.by_name.get(instance)
@@ -200,12 +200,12 @@
 
     def lapsed(self, service: str) -> list[forwarding.Upstream]:
         """Returns upstreams whose expired entries may be renewed soon."""
-        if not self.followed.kept:
+        if not self.followed.retained:
             return []
         now = self.followed.clock()
         return [
             upstream
-            for upstream, until in self.followed.kept.values()
+            for upstream, until in self.followed.retained.values()
             if until > now
             and upstream.vm.service == service
             and self.leaving.stays(upstream)
--- a/lavenderbend/coordination/forwarding/owners.py
+++ b/lavenderbend/coordination/forwarding/owners.py
@@ -57,7 +57,7 @@
 
     def owner_in_zone(self, upstream: int) -> str:
         """Returns the owner of an upstream of this router's zone."""
-        hosts = {self.host, *self.members.near.alive()}
+        hosts = {self.host, *self.members.same_zone.alive()}
         return hashing.rendezvous(f'{upstream:08x}', hosts)
 
     def owning_zone(self, upstream: int, zone: str) -> str:
@@ -67,7 +67,7 @@
             upstream: Its short id.
             zone: Its availability zone, which may have no routers.
         """
-        zones = {self.zone, *self.fleet_count.known()}
+        zones = {self.zone, *self.fleet_count.recent()}
         if zone in zones:
             return zone
         return hashing.rendezvous(f'{upstream:08x}', zones)
@@ -85,7 +85,7 @@
         else:
             host = self.known_owners.get(upstream)
             if host is None or self.is_unresponsive(host):
-                host = self.members.choose_far(self.rng, owning)
+                host = self.members.choose_in_zone(self.rng, owning)
         if host is None or self.is_unresponsive(host):
             return None
         return host
--- a/lavenderbend/coordination/forwarding/suspicions.py
+++ b/lavenderbend/coordination/forwarding/suspicions.py
@@ -21,11 +21,11 @@
 LARGE_FLEET_REPORTS = 2
 
 
-@facts_module.KINDS.register(SUSPECTED)
-class Suspected(facts_module.Kind):
+@facts_module.FACT_KINDS.register(SUSPECTED)
+class Suspected(facts_module.FactKind):
     """An upstream that one router found dead; the source is that router."""
 
-    most_seconds = MAX_SUSPICION_SECONDS
+    max_seconds = MAX_SUSPICION_SECONDS
 
 
 class Suspicions:
@@ -53,13 +53,13 @@
         """Confirms a suspicion if enough routers reported the upstream."""
         if fact.source == self.facts.origin:
             return
-        reports = self.facts.of(SUSPECTED, fact.subject)
+        reports = self.facts.current(SUSPECTED, fact.subject)
         small = self.fleet_size() <= SMALL_FLEET_ROUTERS
         if len(reports) < (
             SMALL_FLEET_REPORTS if small else LARGE_FLEET_REPORTS
         ):
             return
-        until = max(report.until for report in reports)
+        until = max(report.expires_at for report in reports)
         self.on_confirmed(fact.subject, until - trio.current_time())
 
 
--- a/tests/test_coordination/test_forwarding_fleet.py
+++ b/tests/test_coordination/test_forwarding_fleet.py
@@ -82,12 +82,12 @@
         fleet.net.zones[source] == 'zone-1'
         and fleet.net.zones[target] != 'zone-1'
     )
-    await watch_budget(fleet, fleet_count.ZONE_SECONDS + 5.0)
+    await watch_budget(fleet, fleet_count.ZONE_COUNT_SECONDS + 5.0)
     outside = [
         router for router in fleet.routers.values() if router.zone != 'zone-1'
     ]
     assert {router.peers.fleet_size() for router in outside} == {48}
-    assert {router.peers.budget_parts() for router in outside} == {60}
+    assert {router.peers.budget_divisor() for router in outside} == {60}
     fleet.net.cut = lambda source, target: False
     figures = await watch_budget(fleet, 8.0)
     assert 0.0 <= figures['right_after'] <= 3.0
@@ -173,30 +173,30 @@
     begin = trio.current_time()
     while any('10.0.0.9' in router.alive() for router in routers):
         for sender in routers:
-            rows = sender.told(random.Random(1))
+            rows = sender.rows_to_send(random.Random(1))
             for other in routers:
-                other.take(rows)
+                other.merge(rows)
         await trio.sleep(0.01)
-        assert trio.current_time() - begin <= zone_members.HEARD_SECONDS + 0.1
+        assert trio.current_time() - begin <= zone_members.ALIVE_SECONDS + 0.1
 
 
 async def test_fleet_bound_rises_after_settling_and_falls_late(autojump_clock):
-    bound = fleet_count.FleetBound()
-    assert bound.parts() == 0
+    bound = fleet_count.FleetDivisor()
+    assert bound.divisor() == 0
     bound.note(10)
-    assert bound.parts() == 0
-    await trio.sleep(fleet_count.SETTLE_SECONDS + 0.1)
-    assert bound.parts() == 10
+    assert bound.divisor() == 0
+    await trio.sleep(fleet_count.GROWTH_SECONDS + 0.1)
+    assert bound.divisor() == 10
     bound.note(4)
-    await trio.sleep(fleet_count.HOLD_SECONDS - 10.0)
+    await trio.sleep(fleet_count.PEAK_SECONDS - 10.0)
     bound.note(4)
-    assert bound.parts() == 10
+    assert bound.divisor() == 10
     await trio.sleep(20.0)
     bound.note(4)
-    assert bound.parts() == 4
+    assert bound.divisor() == 4
     # One router that joins many gets its share at once. From 4 to 5 is larger
     # growth: no router gets a share until the count has settled.
     bound.note(5)
-    assert bound.parts() == 0
-    await trio.sleep(fleet_count.SETTLE_SECONDS + 0.1)
-    assert bound.parts() == 5
+    assert bound.divisor() == 0
+    await trio.sleep(fleet_count.GROWTH_SECONDS + 0.1)
+    assert bound.divisor() == 5
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -359,7 +359,10 @@
         upstream = chats.placing.chooser.directory.find(name)
         for _ in range(bound):
             reply = await reserving.reserve(upstream, PROMPT, 5.0)
-            assert reply is not None, (name, reserving.owners.members.far)
+            assert reply is not None, (
+                name,
+                reserving.owners.members.other_zones,
+            )
             reserving.queue_note(reply, BEGUN, 0)
     await trio.sleep(0.5)
     chosen = await chats.placing.choose(ticket())
--- a/tests/test_coordination/test_forwarding_reading.py
+++ b/tests/test_coordination/test_forwarding_reading.py
@@ -8,7 +8,7 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.forwarding import reading_turns
+from lavenderbend.coordination.forwarding import read_order
 from lavenderbend.coordination.forwarding import snapshots
 from tests import forwarding_fakes as fakes
 from tests.test_coordination import test_forwarding_peers as peer_fleets
@@ -28,7 +28,7 @@
 def in_reading_order(fleet):
     """Returns the routers in the order in which they read the store."""
     nodes = fleet.routers.values()
-    return sorted(nodes, key=lambda node: node.peers.reading_place())
+    return sorted(nodes, key=lambda node: node.peers.read_position())
 
 
 async def count_reads(fleet, node, seconds):
@@ -38,7 +38,7 @@
 
 
 async def test_routers_agree_on_the_reading_order(fleet, autojump_clock):
-    places = [node.peers.reading_place() for node in fleet.routers.values()]
+    places = [node.peers.read_position() for node in fleet.routers.values()]
     assert sorted(places) == [0, 1, 2, 3]
 
 
@@ -108,7 +108,7 @@
         random.Random(1),
         fakes.SuspensionClock(),
     )
-    followed.reading_place = lambda: 100
+    followed.read_position = lambda: 100
     nursery.start_soon(followed.run)
     await trio.sleep(1.0)
     source.error = errors.KeyValueUnavailable('down')
@@ -146,7 +146,7 @@
 def test_reading_places_differ_and_zones_alternate():
     zones = {'z1': ['a', 'b', 'c'], 'z2': ['d', 'e', 'f']}
     places = {
-        host: reading_turns.place(host, hosts, zone, zones)
+        host: read_order.position(host, hosts, zone, zones)
         for zone, hosts in zones.items()
         for host in hosts
     }
@@ -158,6 +158,6 @@
 def test_wait_for_the_own_turn_is_bounded():
     for place in (0, 1, 5, 100, 5000):
         for drawn in (0.0, 0.5, 1.0):
-            wait = reading_turns.wait_seconds(place, 0.7, drawn)
+            wait = read_order.wait_seconds(place, 0.7, drawn)
             assert 0.0 <= wait <= 0.7
-    assert reading_turns.wait_seconds(0, 0.7, 0.5) == 0.0
+    assert read_order.wait_seconds(0, 0.7, 0.5) == 0.0
