--- a/bench/fleet/measures.py
+++ b/bench/fleet/measures.py
@@ -117,11 +117,12 @@
 async def crash_notice(fleet: world.Fleet) -> float:
     """One router finds a request that upstreams died of."""
     first = next(iter(fleet.routers.values()))
-    subject = crashes.subject_of(FINGERPRINT)
+    subject = crashes.fact_subject(FINGERPRINT)
     for instance in INSTANCES:
         first.peers.facts.add(crashes.DEATH, subject, instance, 60.0)
     return await until_most(
-        fleet, lambda one: one.crashes.deaths(FINGERPRINT) == INSTANCES
+        fleet,
+        lambda one: one.crashes.crashed_upstreams(FINGERPRINT) == INSTANCES,
     )
 
 
@@ -142,7 +143,7 @@
     first = next(iter(fleet.routers.values()))
     left = list(first.directory.candidates(world.SERVICE).by_name)
     del left[LEFT_AT_ONCE:]
-    seconds = departures_lib.MOST_SECONDS
+    seconds = departures_lib.FACT_SECONDS
     for name in left:
         first.peers.facts.add(departures_lib.LEFT, name, '2', seconds)
 
--- a/bench/fleet/prompts.py
+++ b/bench/fleet/prompts.py
@@ -122,11 +122,11 @@
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> str | None:
         """Returns the upstream that a prompt is copied from."""
-        taken = ticket.taken
+        taken = ticket.reservation
         source = self.cached.source(
             ticket.service,
-            ticket.need.chat,
-            ticket.need.parts,
+            ticket.prompt.chat,
+            ticket.prompt.parts,
             upstream,
             () if taken is None else taken.holders,
         )
@@ -211,13 +211,13 @@
         engine.idle_at = max(engine.idle_at, now) + tokens / TOKENS_PER_SECOND
         await trio.sleep_until(engine.idle_at)
         self.waits[kind.name].append(trio.current_time() - begun)
-        engine.held.add(ticket.need.chat)
+        engine.held.add(ticket.prompt.chat)
         chats.router.loads.note_report(name, b'%d,0,32' % engine.load)
         elsewhere = bool(chosen.passed_over)
         chats.cached.note_sent(
-            ticket.need.chat, ticket.need.parts, name, elsewhere
+            ticket.prompt.chat, ticket.prompt.parts, name, elsewhere
         )
-        taken: reservations.Taken | None = ticket.taken
+        taken: reservations.Taken | None = ticket.reservation
         if taken is not None:
             taken.begun()
         await trio.sleep(self.rng.expovariate(1.0 / RUN_SECONDS))
@@ -241,7 +241,7 @@
         upstream: forwarding.Upstream,
     ) -> float:
         """Returns what an engine reads of a prompt, as time taken."""
-        chat = ticket.need.chat
+        chat = ticket.prompt.chat
         if chat in self.engines[upstream.instance].held:
             return kind.own_tokens
         source = chats.source(ticket, upstream)
--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -158,7 +158,7 @@
             link,
             rng,
         )
-        self.crashes = crashes.Crashes(lambda one: True, self.peers.facts)
+        self.crashes = crashes.CrashDetector(lambda one: True, self.peers.facts)
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
@@ -167,7 +167,7 @@
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
-        self.peers.on_learned[departures.LEFT] = self.departures.learn
+        self.peers.on_learned[departures.LEFT] = self.departures.apply_departure
         self.budget = budget.RepeatBudget(REPEATS, self.peers.budget_parts)
 
     def extra(self) -> float:
--- a/bench/relay/forwarding.py
+++ b/bench/relay/forwarding.py
@@ -16,7 +16,6 @@
 from lavenderbend.coordination.forwarding import crashes
 from lavenderbend.coordination.forwarding import departures
 from lavenderbend.coordination.forwarding import directory
-from lavenderbend.coordination.forwarding import entry
 from lavenderbend.coordination.forwarding import facts
 from lavenderbend.coordination.forwarding import forwarder
 from lavenderbend.coordination.forwarding import health
@@ -25,6 +24,7 @@
 from lavenderbend.coordination.forwarding import outgoing
 from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import prompt_holders
+from lavenderbend.coordination.forwarding import request_resolver
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
 from lavenderbend.observe import logs
@@ -113,7 +113,9 @@
     load = loads.Loads()
     found = facts.Facts('bench', lambda fact: None)
     return forwarder.Forwarder(
-        entry.Entry(followed, HEADERS, router.LONG_SECONDS),
+        request_resolver.RequestResolver(
+            followed, HEADERS, router.LONG_SECONDS
+        ),
         placing.Placing(
             choice.Chooser(ZONE, known, well, load, 2.0),
             None,
@@ -131,7 +133,7 @@
                 ),
                 HEADERS,
             ),
-            crashes.Crashes(exchanges.accepts, found),
+            crashes.CrashDetector(exchanges.accepts, found),
             silence.SilenceWatch(well),
             departures.Departures(followed, known, found),
             HEADERS,
--- a/lavenderbend/coordination/forwarding/attempts.py
+++ b/lavenderbend/coordination/forwarding/attempts.py
@@ -8,7 +8,7 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.forwarding import attempt_ends
+from lavenderbend.coordination.forwarding import failed_attempts
 from lavenderbend.coordination.forwarding import interfaces
 from lavenderbend.coordination.forwarding import tickets
 
@@ -29,17 +29,17 @@
 EVENT_STREAM = b'text/event-stream'
 MISDIRECTED = 421
 SERVER_ERROR = 500
-UNAVAILABLE = 503
-SAYS_SO = b'1'
+SERVICE_UNAVAILABLE = 503
+HEADER_TRUE = b'1'
 RETRY_AFTER = b'retry-after'
 # an upstream that is only slow answers within this many targets; one that
 # hangs would use up the time that another needs
-FIRST_BYTE_TARGETS = 3.0
+FIRST_BYTE_TARGET_MULTIPLE = 3.0
 MIN_FIRST_BYTE_SECONDS = 0.3
-FIRST_BYTE_PART = 0.4
+FIRST_BYTE_TIME_FRACTION = 0.4
 # pauses of this many of the longest wanted ones are no slow upstream's
-SILENT_GAPS = 4.0
-MIN_SILENT_SECONDS = 0.8
+STALL_GAP_MULTIPLE = 4.0
+MIN_STALL_SECONDS = 0.8
 
 
 class Attempts:
@@ -53,34 +53,34 @@
     def __init__(
         self,
         exchanges: interfaces.Exchanges,
-        found: directories.Directory,
+        directory: directories.Directory,
         health: health_module.Health,
         loads: loads_module.Loads,
         requests: outgoing.OutgoingRequests,
-        crashes: crashes_module.Crashes,
+        crashes: crashes_module.CrashDetector,
         silence: silence_module.SilenceWatch,
         departures: departing.Departures,
         headers: forwarding_settings.ForwardHeaders,
     ) -> None:
         self.exchanges = exchanges
-        self.directory = found
+        self.directory = directory
         self.health = health
         self.loads = loads
         self.requests = requests
         self.crashes = crashes
         self.silence = silence
         self.departures = departures
-        self.signature = headers.signature.encode()
-        self.not_run = headers.not_run.encode()
-        self.load = headers.load.encode()
-        self.leaving = headers.leaving.encode()
+        self.signature_header = headers.signature.encode()
+        self.not_run_header = headers.not_run.encode()
+        self.load_header = headers.load.encode()
+        self.leaving_header = headers.leaving.encode()
 
     async def attempt(
         self,
         ticket: tickets.Ticket,
         upstream: forwarding.Upstream,
         answer: interfaces.CallerAnswer,
-        may_repeat: Callable[[], bool],
+        may_retry: Callable[[], bool],
     ) -> None:
         """Sends a request to an upstream and its answer to the caller.
 
@@ -88,7 +88,7 @@
             ticket: The request.
             upstream: Where it goes.
             answer: The caller's answer.
-            may_repeat: Returns whether another upstream may follow, so that
+            may_retry: Returns whether another upstream may follow, so that
                 this one is not waited for to the end; what it allows counts
                 against what may be repeated.
 
@@ -100,12 +100,16 @@
         self.loads.begin(upstream.instance)
         try:
             exchange = await self.open(ticket, upstream)
-            limit = self.first_byte_seconds(ticket)
-            waiting = self.silence.begin(upstream, limit, may_repeat)
+            limit = self.first_byte_timeout(ticket)
+            waiting = self.silence.begin(upstream, limit, may_retry)
             try:
-                await self.run(ticket, upstream, exchange, answer, waiting)
+                await self.run_exchange(
+                    ticket, upstream, exchange, answer, waiting
+                )
             except BaseException as exc:
-                attempt_ends.note(ticket, upstream, answer, waiting, exc)
+                failed_attempts.log_failure(
+                    ticket, upstream, answer, waiting, exc
+                )
                 raise
             finally:
                 self.silence.end(waiting)
@@ -119,8 +123,8 @@
             raise
         finally:
             self.loads.end(upstream.instance)
-            if ticket.taken is not None:
-                ticket.taken.ended()
+            if ticket.reservation is not None:
+                ticket.reservation.ended()
 
     async def open(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
@@ -137,12 +141,14 @@
         except errors.UpstreamUnreachable:
             self.health.note_unreachable(upstream.instance)
             raise
-        if self.takes(ticket.service, upstream):
+        if self.accepts_requests(ticket.service, upstream):
             return exchange
         exchange.close()
         raise errors.UpstreamWithdrawn('it takes no more requests')
 
-    def takes(self, service: str, upstream: forwarding.Upstream) -> bool:
+    def accepts_requests(
+        self, service: str, upstream: forwarding.Upstream
+    ) -> bool:
         """Returns whether an upstream still takes requests.
 
         It may have left, or have asked for none, since it was chosen.
@@ -151,7 +157,7 @@
             return False
         return upstream.instance in self.directory.candidates(service).by_name
 
-    async def run(
+    async def run_exchange(
         self,
         ticket: tickets.Ticket,
         upstream: forwarding.Upstream,
@@ -164,35 +170,37 @@
         Raises:
             UpstreamError: The caller has no whole answer yet.
         """
-        ticket.used.append(upstream.instance)
-        ticket.cutter.restart()
-        earlier = ticket.may_have_run
+        ticket.sent_to.append(upstream.instance)
+        ticket.splitter.restart()
+        previously = ticket.may_have_run
         # from the first byte on only the upstream can say that it did not
         # run: a caller that is told so sends the request again
         ticket.may_have_run = True
-        outgoing_request = self.requests.make(ticket, upstream)
+        outgoing_request = self.requests.build(ticket, upstream)
         head = await waiting.read(lambda: exchange.send(outgoing_request))
-        record = ticket.placed[-1]
+        record = ticket.attempts[-1]
         record.first_byte = trio.current_time() - record.started
         self.silence.note_bytes(waiting)
         self.note_head(upstream, head)
-        if self.says_not_run(head):
-            ticket.may_have_run = earlier
+        if self.reports_not_run(head):
+            ticket.may_have_run = previously
             if head.status == MISDIRECTED:
                 # the upstream that was meant has not had it
-                ticket.used.remove(upstream.instance)
-            await self.refused(upstream, exchange, head, waiting)
+                ticket.sent_to.remove(upstream.instance)
+            await self.raise_refusal(upstream, exchange, head, waiting)
         self.check_answer(head)
-        self.requests.note_taken(ticket, upstream)
-        if ticket.taken is not None:
-            ticket.taken.begun()
+        self.requests.note_prompt_read(ticket, upstream)
+        if ticket.reservation is not None:
+            ticket.reservation.begun()
         if ticket.rule.then.streaming and head.status < 300:
-            await self.relay(ticket, exchange, head, answer, waiting)
+            await self.relay_stream(ticket, exchange, head, answer, waiting)
             self.note_success(ticket, upstream)
             return
-        await self.whole(ticket, upstream, exchange, head, answer, waiting)
+        await self.relay_whole(
+            ticket, upstream, exchange, head, answer, waiting
+        )
 
-    async def whole(
+    async def relay_whole(
         self,
         ticket: tickets.Ticket,
         upstream: forwarding.Upstream,
@@ -207,7 +215,7 @@
             UpstreamError: It is a failure that another upstream may make
                 good, or broke off.
         """
-        body = await read_whole(exchange, waiting)
+        body = await read_body(exchange, waiting)
         failed = head.status >= SERVER_ERROR
         if failed:
             self.note_failure(ticket, upstream)
@@ -220,7 +228,7 @@
         if failed and waiting.may_repeat():
             ticket.fallback = tickets.WholeAnswer(head, body)
             raise errors.UpstreamError(f'answered {head.status}')
-        await answer.whole(head.status, head.headers, body)
+        await answer.send_whole(head.status, head.headers, body)
 
     def note_failure(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
@@ -243,12 +251,12 @@
         if head.status == MISDIRECTED:
             # another process speaks
             return
-        load = interfaces.header(head.headers, self.load)
+        load = interfaces.header(head.headers, self.load_header)
         if load is not None:
             self.loads.note_report(upstream.instance, load)
-        if interfaces.header(head.headers, self.leaving) == SAYS_SO:
-            self.departures.note_word(upstream.instance)
-        if head.status == UNAVAILABLE:
+        if interfaces.header(head.headers, self.leaving_header) == HEADER_TRUE:
+            self.departures.note_announcement(upstream.instance)
+        if head.status == SERVICE_UNAVAILABLE:
             self.note_retry_after(upstream, head)
 
     def note_retry_after(
@@ -256,19 +264,19 @@
     ) -> None:
         """Notes for how long an upstream wants no requests."""
         value = interfaces.header(head.headers, RETRY_AFTER)
-        seconds = seconds_of(value)
+        seconds = parse_retry_after(value)
         if seconds > 0.0:
             self.health.note_unwanted(upstream.instance, seconds)
 
-    def says_not_run(self, head: interfaces.AnswerHead) -> bool:
+    def reports_not_run(self, head: interfaces.AnswerHead) -> bool:
         """Returns whether the upstream says that it did not run it."""
         if head.status == MISDIRECTED:
             return True
         if head.status < 400:
             return False
-        return interfaces.header(head.headers, self.not_run) is not None
+        return interfaces.header(head.headers, self.not_run_header) is not None
 
-    async def refused(
+    async def raise_refusal(
         self,
         upstream: forwarding.Upstream,
         exchange: interfaces.Exchange,
@@ -285,7 +293,7 @@
             raise errors.UpstreamReplaced('another process is at its address')
         self.health.note_full(upstream.instance)
         try:
-            await read_whole(exchange, waiting)
+            await read_body(exchange, waiting)
         except errors.UpstreamBroke as exc:
             raise errors.UpstreamRefused(f'{head.status}, then {exc}') from exc
         raise errors.UpstreamRefused(f'answered {head.status}, not run')
@@ -298,13 +306,13 @@
         """
         if head.status >= 300:
             return
-        if interfaces.header(head.headers, self.signature) is None:
+        if interfaces.header(head.headers, self.signature_header) is None:
             raise errors.UpstreamBroke('a success without a signature')
         if interfaces.header(head.headers, b'content-encoding') is not None:
             raise errors.UpstreamBroke('an encoded body that nobody asked for')
 
-    def check_end(
-        self, head: interfaces.AnswerHead, cutter: events.EventCutter
+    def check_stream_end(
+        self, head: interfaces.AnswerHead, splitter: events.EventSplitter
     ) -> None:
         """Checks the end of a stream whose last event lacks its blank line.
 
@@ -315,18 +323,18 @@
             AnswerContradicts: The event does not go on behind the last one.
         """
         kind = interfaces.header(head.headers, b'content-type') or b''
-        of_events = cutter.begun or kind.startswith(EVENT_STREAM)
+        of_events = splitter.passed_events or kind.startswith(EVENT_STREAM)
         if of_events and not head.framed:
             raise errors.UpstreamLost('closed within an event')
-        cutter.check_rest()
+        splitter.check_partial_event()
 
-    def first_byte_seconds(self, ticket: tickets.Ticket) -> float:
+    def first_byte_timeout(self, ticket: tickets.Ticket) -> float:
         """Returns how long an upstream may take to begin its answer."""
-        wanted = FIRST_BYTE_TARGETS * ticket.rule.then.target
-        most = FIRST_BYTE_PART * ticket.left
-        return max(min(wanted, most), MIN_FIRST_BYTE_SECONDS)
+        from_target = FIRST_BYTE_TARGET_MULTIPLE * ticket.rule.then.target
+        from_deadline = FIRST_BYTE_TIME_FRACTION * ticket.seconds_left
+        return max(min(from_target, from_deadline), MIN_FIRST_BYTE_SECONDS)
 
-    async def relay(
+    async def relay_stream(
         self,
         ticket: tickets.Ticket,
         exchange: interfaces.Exchange,
@@ -339,29 +347,29 @@
         Raises:
             UpstreamBroke: It broke off.
         """
-        cutter = ticket.cutter
+        splitter = ticket.splitter
         while (data := await waiting.read(exchange.read)) is not None:
             self.silence.note_bytes(waiting)
-            whole = cutter.feed(data)
-            if not whole:
+            complete = splitter.feed(data)
+            if not complete:
                 continue
             waiting.flowing = True
-            gaps = SILENT_GAPS * ticket.rule.then.max_gap
-            waiting.limit = max(gaps, MIN_SILENT_SECONDS)
+            gaps = STALL_GAP_MULTIPLE * ticket.rule.then.max_gap
+            waiting.limit = max(gaps, MIN_STALL_SECONDS)
             if not answer.started:
                 await answer.start(head.status, head.headers)
-            await answer.send(whole)
-            cutter.note_written()
-        if cutter.rest:
-            self.check_end(head, cutter)
+            await answer.send(complete)
+            splitter.mark_written()
+        if splitter.partial_event:
+            self.check_stream_end(head, splitter)
         if not answer.started:
             await answer.start(head.status, head.headers)
-        if cutter.rest:
-            await answer.send(cutter.rest)
+        if splitter.partial_event:
+            await answer.send(splitter.partial_event)
         await answer.finish()
 
 
-def seconds_of(value: bytes | None) -> float:
+def parse_retry_after(value: bytes | None) -> float:
     """Returns the seconds that a header names, 0 if it names none.
 
     A date, which the header may hold too, is taken for none: the clocks of
@@ -374,7 +382,7 @@
     return seconds if 0.0 < seconds < math.inf else 0.0
 
 
-async def read_whole(
+async def read_body(
     exchange: interfaces.Exchange, waiting: silence_module.Waiting
 ) -> bytes:
     """Returns the whole body of an answer.
--- a/lavenderbend/coordination/forwarding/crashes.py
+++ b/lavenderbend/coordination/forwarding/crashes.py
@@ -23,29 +23,31 @@
 
 # one death may be any request's that was there; at a second one on another
 # upstream a request that never succeeded between is taken for the cause
-DEATHS_TO_STOP = 2
+CRASHES_TO_QUARANTINE = 2
 # a caller that sends such a request keeps on for so long at most
-REMEMBER_SECONDS = 120.0
+FACT_SECONDS = 120.0
 # a process that died refuses connections by then; one whose connection was
 # only reset accepts them
-CONFIRM_SECONDS = 0.05
-MAX_LOSSES = 1000
-COME_BACK_SECONDS = 30.0
+PROBE_DELAY_SECONDS = 0.05
+MAX_PENDING_PROBES = 1000
+RETRY_AFTER_SECONDS = 30.0
 # kinds of facts that routers tell each other
 DEATH = 'death'
 CLEARED = 'cleared'
 
-DEATHS = metrics.counter(
+UPSTREAM_CRASHES = metrics.counter(
     'lavenderbend_forward_upstream_deaths_total',
     'Upstreams that died while they had requests of this router.',
 )
-STOPPED = metrics.counter(
+REFUSED_REQUESTS = metrics.counter(
     'lavenderbend_forward_crashing_requests_total',
     'Requests refused because upstreams died of them before.',
 )
 
 
-def fingerprint(request: interfaces.CallerRequest, customer: str) -> int:
+def request_fingerprint(
+    request: interfaces.CallerRequest, customer: str
+) -> int:
     """Returns what a request has in common with its repetitions."""
     return hashing.hash64(
         request.header('host') or '',
@@ -57,36 +59,36 @@
 
 
 @facts_module.KINDS.register(DEATH)
-class Death(facts_module.Kind):
+class CrashFact(facts_module.Kind):
     """A request that an upstream died of; the source is the upstream."""
 
-    most_seconds = REMEMBER_SECONDS
+    most_seconds = FACT_SECONDS
     cleared_by = CLEARED
 
 
 @facts_module.KINDS.register(CLEARED)
-class Cleared(facts_module.Kind):
+class ClearedFact(facts_module.Kind):
     """A request that ran to a good end."""
 
-    most_seconds = REMEMBER_SECONDS
+    most_seconds = FACT_SECONDS
 
 
 @attrs.define(eq=False)
-class Loss:
+class LostConnection:
     """A connection that was lost while it had a request.
 
     Attributes:
-        mark: Fingerprint of the request.
+        fingerprint: Fingerprint of the request.
         upstream: The upstream.
         cleared: Whether the request has run to a good end since.
     """
 
-    mark: int
+    fingerprint: int
     upstream: forwarding.Upstream
     cleared: bool = False
 
 
-class Crashes:
+class CrashDetector:
     """Finds requests that upstreams die of, and refuses them.
 
     A death is told to all routers: the caller sends the request again
@@ -95,26 +97,26 @@
 
     Attributes:
         facts: What this router and others found.
-        losses: Lost connections of which it is not known yet whether their
+        pending: Lost connections of which it is not known yet whether their
             upstreams died.
-        alive: Returns whether an upstream accepts connections.
+        accepts_connections: Returns whether an upstream accepts connections.
     """
 
     def __init__(
         self,
-        alive: Callable[[forwarding.Upstream], object],
+        accepts_connections: Callable[[forwarding.Upstream], object],
         facts: facts_module.Facts,
     ) -> None:
-        self.alive = alive
+        self.accepts_connections = accepts_connections
         self.facts = facts
-        self.losses: set[Loss] = set()
+        self.pending: set[LostConnection] = set()
         self.successes = itertools.count()
-        self.lost: trio.MemorySendChannel | None = None
+        self.pending_sender: trio.MemorySendChannel | None = None
 
-    def deaths(self, mark: int) -> list[str]:
+    def crashed_upstreams(self, fingerprint: int) -> list[str]:
         """Returns the upstreams that died of a request."""
-        found = self.facts.of(DEATH, subject_of(mark))
-        return sorted(one.source for one in found)
+        crash_facts = self.facts.of(DEATH, fact_subject(fingerprint))
+        return sorted(fact.source for fact in crash_facts)
 
     def check(self, ticket: tickets.Ticket) -> None:
         """Refuses a request that upstreams died of.
@@ -124,13 +126,13 @@
         """
         if not self.facts.has(DEATH):
             return
-        deaths = self.deaths(self.fingerprint(ticket))
-        if len(deaths) < DEATHS_TO_STOP:
+        crashed = self.crashed_upstreams(self.fingerprint(ticket))
+        if len(crashed) < CRASHES_TO_QUARANTINE:
             return
-        STOPPED.inc({})
+        REFUSED_REQUESTS.inc({})
         error = errors.RequestQuarantined(
-            f'{len(deaths)} upstreams died of this request',
-            COME_BACK_SECONDS,
+            f'{len(crashed)} upstreams died of this request',
+            RETRY_AFTER_SECONDS,
         )
         error.status = errors.NoUpstream.status
         raise error
@@ -138,42 +140,46 @@
     def fingerprint(self, ticket: tickets.Ticket) -> int:
         """Returns the fingerprint of a ticket's request, made once."""
         if ticket.fingerprint is None:
-            ticket.fingerprint = fingerprint(ticket.request, ticket.customer)
+            ticket.fingerprint = request_fingerprint(
+                ticket.request, ticket.customer
+            )
         return ticket.fingerprint
 
     def note_success(self, ticket: tickets.Ticket) -> None:
         """Clears a request that ran to a good end."""
-        if not self.facts.has(DEATH) and not self.losses:
+        if not self.facts.has(DEATH) and not self.pending:
             return
-        mark = self.fingerprint(ticket)
-        self.clear_losses(mark)
-        if self.deaths(mark):
+        fingerprint = self.fingerprint(ticket)
+        self.clear_pending(fingerprint)
+        if self.crashed_upstreams(fingerprint):
             # a fact of its own: a death between two successes is cleared by
             # the second one
             source = f'{self.facts.origin} {next(self.successes)}'
-            self.facts.add(CLEARED, subject_of(mark), source, REMEMBER_SECONDS)
+            self.facts.add(
+                CLEARED, fact_subject(fingerprint), source, FACT_SECONDS
+            )
 
-    def clear_losses(self, mark: int) -> None:
+    def clear_pending(self, fingerprint: int) -> None:
         """Forgets lost connections of a request that has run since.
 
         Their deaths are noted after this success, and must not outlive it.
         """
-        for loss in self.losses:
-            if loss.mark == mark:
+        for loss in self.pending:
+            if loss.fingerprint == fingerprint:
                 loss.cleared = True
 
-    def learn(self, fact: facts_module.Fact) -> None:
+    def apply_fact(self, fact: facts_module.Fact) -> None:
         """Takes in what this or another router has found."""
-        mark = int(fact.subject, 16)
+        fingerprint = int(fact.subject, 16)
         if fact.kind == CLEARED:
-            self.clear_losses(mark)
+            self.clear_pending(fingerprint)
             return
-        deaths = self.deaths(mark)
-        if len(deaths) == DEATHS_TO_STOP:
+        crashed = self.crashed_upstreams(fingerprint)
+        if len(crashed) == CRASHES_TO_QUARANTINE:
             logs.change(
                 'request_stopped',
                 fingerprint=fact.subject,
-                upstreams=deaths,
+                upstreams=crashed,
                 age=round(trio.current_time() - fact.at, 3),
             )
 
@@ -181,43 +187,45 @@
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
         """Notes that a connection was lost while it had a request."""
-        if self.lost is None:
+        if self.pending_sender is None:
             return
-        loss = Loss(self.fingerprint(ticket), upstream)
+        loss = LostConnection(self.fingerprint(ticket), upstream)
         try:
-            self.lost.send_nowait(loss)
+            self.pending_sender.send_nowait(loss)
         except trio.WouldBlock:
             logs.change('crash_not_examined', upstream=upstream.instance)
             return
-        self.losses.add(loss)
+        self.pending.add(loss)
 
     async def run(self) -> None:
         """Examines lost connections."""
-        self.lost, received = trio.open_memory_channel(MAX_LOSSES)
+        self.pending_sender, received = trio.open_memory_channel(
+            MAX_PENDING_PROBES
+        )
         async with trio.open_nursery() as nursery:
             async for loss in received:
                 nursery.start_soon(self.examine, loss)
 
-    async def examine(self, loss: Loss) -> None:
+    async def examine(self, loss: LostConnection) -> None:
         """Finds out whether an upstream died, or a connection was reset."""
         try:
-            await trio.sleep(CONFIRM_SECONDS)
-            if await self.alive(loss.upstream):
+            await trio.sleep(PROBE_DELAY_SECONDS)
+            if await self.accepts_connections(loss.upstream):
                 return
         finally:
-            self.losses.discard(loss)
-        DEATHS.inc({})
+            self.pending.discard(loss)
+        UPSTREAM_CRASHES.inc({})
         if loss.cleared:
             return
-        subject = subject_of(loss.mark)
+        subject = fact_subject(loss.fingerprint)
         logs.change(
             'request_at_death',
             fingerprint=subject,
             upstream=loss.upstream.instance,
         )
-        self.facts.add(DEATH, subject, loss.upstream.instance, REMEMBER_SECONDS)
+        self.facts.add(DEATH, subject, loss.upstream.instance, FACT_SECONDS)
 
 
-def subject_of(mark: int) -> str:
+def fact_subject(fingerprint: int) -> str:
     """Returns how a fingerprint is written."""
-    return f'{mark:016x}'
+    return f'{fingerprint:016x}'
--- a/lavenderbend/coordination/forwarding/records.py
+++ b/lavenderbend/coordination/forwarding/decision_records.py
@@ -22,7 +22,7 @@
 NOT_RUN = 'not-run'
 
 
-def outcome_of(outcome: str, ticket: tickets.Ticket | None) -> str:
+def caller_outcome(outcome: str, ticket: tickets.Ticket | None) -> str:
     """Returns what the caller may conclude, in one word."""
     if outcome == ANSWERED:
         return COMPLETE
@@ -31,7 +31,7 @@
     return NOT_RUN
 
 
-def decision(
+def make_decision(
     request: interfaces.CallerRequest,
     request_id: str,
     ticket: tickets.Ticket | None,
@@ -59,7 +59,7 @@
         method=request.method.decode('latin-1'),
         path=request.target.decode('latin-1'),
         revision=version,
-        outcome=outcome_of(outcome, ticket),
+        outcome=caller_outcome(outcome, ticket),
         error='' if outcome == ANSWERED else outcome,
         detail=detail,
         at=time.time() - duration,
@@ -72,7 +72,7 @@
     record.rule = ticket.rule.name
     record.pool = ticket.service
     record.priority = str(ticket.rank)
-    record.attempts = ticket.placed
-    if ticket.need.parts:
-        record.chat = f'{hashing.hash64(ticket.need.chat):016x}'
+    record.attempts = ticket.attempts
+    if ticket.prompt.parts:
+        record.chat = f'{hashing.hash64(ticket.prompt.chat):016x}'
     return record
--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -14,30 +14,32 @@
     from collections.abc import Mapping
 
     from lavenderbend.coordination.forwarding import directory as directories
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.state import forwarding
 
 LEFT = 'left'
 LEAVING = 'leaving'
 # by then each router has a snapshot that shows it, or is cut off from all
-MOST_SECONDS = 30.0
+FACT_SECONDS = 30.0
 MAX_REVISION_DIGITS = 20
 LIVE = upstreams.VmState.LIVE
 
 
 @facts_module.KINDS.register(LEFT)
-class SeenToLeave(facts_module.Kind):
+class LeftFact(facts_module.Kind):
     """An upstream that leaves; the source is the revision that shows it."""
 
-    most_seconds = MOST_SECONDS
+    most_seconds = FACT_SECONDS
     for_new = False
 
 
 @facts_module.KINDS.register(LEAVING)
-class SaidToLeave(facts_module.Kind):
+class LeavingFact(facts_module.Kind):
     """An upstream whose answers say that it leaves."""
 
-    most_seconds = MOST_SECONDS
+    most_seconds = FACT_SECONDS
 
 
 class Departures:
@@ -48,51 +50,53 @@
     an upstream that leaves goes on; what is told here fits a datagram.
 
     Attributes:
-        followed: The snapshots of this router.
+        snapshots: The snapshots of this router.
         directory: Learns what others tell.
         facts: What is told.
-        before: Upstreams of the latest snapshot.
+        previous: Upstreams of the latest snapshot.
     """
 
     def __init__(
         self,
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         directory: directories.Directory,
         facts: facts_module.Facts,
     ) -> None:
-        self.followed = followed
+        self.snapshots = snapshots
         self.directory = directory
         self.facts = facts
-        self.before: Mapping[str, forwarding.Upstream] = {}
-        followed.on_change.append(self.compare)
+        self.previous: Mapping[str, forwarding.Upstream] = {}
+        snapshots.on_change.append(self.share_departures)
 
-    def compare(self, snapshot: forwarding.Snapshot) -> None:
+    def share_departures(self, snapshot: forwarding.Snapshot) -> None:
         """Tells which upstreams a new snapshot shows to leave."""
-        for instance, upstream in self.before.items():
+        for instance, upstream in self.previous.items():
             if upstream.vm.state is not LIVE:
                 continue
             later = snapshot.upstreams.get(instance)
-            if later is None and instance not in self.followed.kept:
-                self.tell(upstream, snapshot.revision)
+            if later is None and instance not in self.snapshots.kept:
+                self.share_departure(upstream, snapshot.revision)
             elif later is not None and later.vm.state is not LIVE:
-                self.tell(upstream, later.revision)
-        self.before = snapshot.upstreams
+                self.share_departure(upstream, later.revision)
+        self.previous = snapshot.upstreams
 
-    def tell(self, upstream: forwarding.Upstream, revision: int) -> None:
+    def share_departure(
+        self, upstream: forwarding.Upstream, revision: int
+    ) -> None:
         """Tells that an upstream leaves, unless another router has."""
-        told = self.facts.of(LEFT, upstream.instance)
-        if any(revision_of(fact) > upstream.revision for fact in told):
+        shared = self.facts.of(LEFT, upstream.instance)
+        if any(departure_revision(fact) > upstream.revision for fact in shared):
             return
-        self.facts.add(LEFT, upstream.instance, str(revision), MOST_SECONDS)
+        self.facts.add(LEFT, upstream.instance, str(revision), FACT_SECONDS)
 
-    def note_word(self, instance: str) -> None:
+    def note_announcement(self, instance: str) -> None:
         """Notes that an upstream says in an answer that it leaves."""
-        if instance in self.directory.leaving.said:
+        if instance in self.directory.leaving.announced:
             return
         # one source for all routers that hear it: they tell the same fact
-        self.facts.add(LEAVING, instance, LEAVING, MOST_SECONDS)
+        self.facts.add(LEAVING, instance, LEAVING, FACT_SECONDS)
 
-    def learn_word(self, fact: facts_module.Fact) -> None:
+    def apply_announcement(self, fact: facts_module.Fact) -> None:
         """Sends nothing more to an upstream that says it leaves."""
         if not self.directory.note_said(fact.subject):
             return
@@ -100,25 +104,25 @@
             'upstream_leaving',
             upstream=fact.subject,
             told_after=round(trio.current_time() - fact.at, 3),
-            age=round(self.followed.age, 3),
+            age=round(self.snapshots.age, 3),
         )
 
-    def learn(self, fact: facts_module.Fact) -> None:
+    def apply_departure(self, fact: facts_module.Fact) -> None:
         """Sends nothing more to an upstream that another router saw leave."""
-        revision = revision_of(fact)
+        revision = departure_revision(fact)
         if not self.directory.note_left(fact.subject, revision):
             return
-        current = self.followed.current
+        current = self.snapshots.current
         logs.change(
             'upstream_left',
             upstream=fact.subject,
             revision=revision,
             known_revision=0 if current is None else current.revision,
-            age=round(self.followed.age, 3),
+            age=round(self.snapshots.age, 3),
         )
 
 
-def revision_of(fact: facts_module.Fact) -> int:
+def departure_revision(fact: facts_module.Fact) -> int:
     """Returns the revision that shows a departure, -1 if none is named."""
     text = fact.source
     if len(text) > MAX_REVISION_DIGITS or not text.isdecimal():
--- a/lavenderbend/coordination/forwarding/directory.py
+++ b/lavenderbend/coordination/forwarding/directory.py
@@ -73,7 +73,7 @@
     def __init__(self, followed: snapshots.Snapshots) -> None:
         self.followed = followed
         self.misplaced: set[str] = set()
-        self.leaving = leaving.Leaving()
+        self.leaving = leaving.LeavingUpstreams()
         self.by_service: dict[str, Candidates] = {}
         self.changes: dict[str, list[Former]] = {}
         followed.on_change.append(self.take)
@@ -85,7 +85,7 @@
         before = self.by_service
         found: dict[str, list[forwarding.Upstream]] = {}
         for upstream in snapshot.upstreams.values():
-            if self.leaving.stays(upstream):
+            if self.leaving.is_staying(upstream):
                 found.setdefault(upstream.vm.service, []).append(upstream)
         self.by_service = {
             service: candidates_of(some) for service, some in found.items()
@@ -117,9 +117,9 @@
         Returns:
             Whether this router took it for one that stays.
         """
-        if instance in self.leaving.said:
+        if instance in self.leaving.announced:
             return False
-        self.leaving.note_said(instance)
+        self.leaving.note_announced(instance)
         return self.drop(instance)
 
     def drop(self, instance: str) -> bool:
@@ -128,7 +128,7 @@
             return True
         for service, before in self.by_service.items():
             upstream = before.by_name.get(instance)
-            if upstream is not None and not self.leaving.stays(upstream):
+            if upstream is not None and not self.leaving.is_staying(upstream):
                 self.by_service[service] = candidates_of(
                     one
                     for one in before.by_name.values()
@@ -199,5 +199,5 @@
             for upstream, until in self.followed.kept.values()
             if until > now
             and upstream.vm.service == service
-            and self.leaving.stays(upstream)
+            and self.leaving.is_staying(upstream)
         ]
--- a/lavenderbend/coordination/forwarding/explain.py
+++ b/lavenderbend/coordination/forwarding/explain.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-    from lavenderbend.coordination.forwarding import entry as entry_module
+    from lavenderbend.coordination.forwarding import request_resolver
     from lavenderbend.state import forwarding
 
 NO_TABLE = 'no configuration was read yet: the caller gets 503'
@@ -46,24 +46,24 @@
     """Explains what this router would decide now.
 
     Attributes:
-        entry: Finds rule and customer.
+        resolver: Finds rule and customer.
         chooser: Finds upstreams.
     """
 
     def __init__(
         self,
-        entry: entry_module.Entry,
+        resolver: request_resolver.RequestResolver,
         chooser: choice_module.Chooser,
     ) -> None:
-        self.entry = entry
+        self.resolver = resolver
         self.chooser = chooser
 
     def explain(self, asked: Asked) -> explanations.Explanation:
         """Returns what would be decided for a request."""
-        table = self.entry.followed.table
+        table = self.resolver.snapshots.table
         if table is None:
             return explanations.Explanation(0, (), verdict=NO_TABLE)
-        self.entry.compile(table)
+        self.resolver.compile(table)
         steps, rule = self.match(asked)
         base = explanations.Explanation(table.version, tuple(steps))
         if rule is None:
@@ -85,7 +85,7 @@
             headers=asked.headers,
         )
         steps = []
-        for compiled in self.entry.compiled.rules:
+        for compiled in self.resolver.compiled.rules:
             failed = compiled.failed(facts)
             steps.append(explanations.RuleStep(compiled.rule.name, failed))
             if not failed:
@@ -101,7 +101,7 @@
         """Returns why the customer would be refused, empty if not."""
         if not table.customers or rule.then.public:
             return ''
-        if not self.entry.followed.may_serve_credentials():
+        if not self.resolver.snapshots.may_serve_credentials():
             return STALE
         named = [one for one in table.customers if one.name == customer]
         if not any(one.credentials for one in named):
@@ -120,7 +120,7 @@
         service = max(then.pools, key=lambda share: share.weight).pool
         need = choice_module.Need(
             choice_module.parse_parts(
-                asked.headers.get(self.entry.headers.prompt_parts)
+                asked.headers.get(self.resolver.headers.prompt_parts)
             )
         )
         choice = self.chooser.choose(service, need, (), asked.path)
@@ -143,7 +143,7 @@
         self, service: str, choice: choice_module.Choice
     ) -> tuple[explanations.CandidateStep, ...]:
         """Returns a line for each upstream of a service."""
-        current = self.entry.followed.current
+        current = self.resolver.snapshots.current
         passed = {one.upstream: one.reason for one in choice.passed_over}
         usable = self.chooser.directory.candidates(service).by_name
         steps = []
--- a/lavenderbend/coordination/forwarding/attempt_ends.py
+++ b/lavenderbend/coordination/forwarding/failed_attempts.py
@@ -21,14 +21,14 @@
 DEADLINE = 'the deadline came'
 STOPPED = 'the router stopped'
 
-ENDS = metrics.counter(
+FAILED_ATTEMPTS = metrics.counter(
     'lavenderbend_forward_attempts_failed_total',
     'Attempts that gave no whole answer, by who ended them, how, and whether '
     'events that had been read were not yet written to the caller.',
 )
 
 
-def note(
+def log_failure(
     ticket: tickets.Ticket,
     upstream: forwarding.Upstream,
     answer: interfaces.CallerAnswer,
@@ -36,13 +36,18 @@
     cause: BaseException,
 ) -> None:
     """Writes how an attempt ended, and how far it had come."""
-    cutter = ticket.cutter
+    splitter = ticket.splitter
     by = ended_by(answer, cause)
     # a nursery on the way may have wrapped a cancellation
     cancelled = not isinstance(cause, Exception)
     kind = CANCELLED if cancelled else type(cause).__name__
-    unwritten = answer.mid_write or cutter.read != cutter.written
-    ENDS.inc({'by': by.value, 'kind': kind, 'unwritten': str(int(unwritten))})
+    unwritten = (
+        answer.write_pending
+        or splitter.read_position != splitter.written_position
+    )
+    FAILED_ATTEMPTS.inc(
+        {'by': by.value, 'kind': kind, 'unwritten': str(int(unwritten))}
+    )
     logs.change(
         'attempt_failed',
         request=ticket.id,
@@ -52,9 +57,9 @@
         ended_by=by.value,
         may_have_run=ticket.may_have_run,
         began=answer.started,
-        last_event=cutter.read.number,
-        written_event=cutter.written.number,
-        unfinished_bytes=len(cutter.rest),
+        last_event=splitter.read_position.number,
+        written_event=splitter.written_position.number,
+        unfinished_bytes=len(splitter.partial_event),
         waited_for=waited_for(answer, waiting),
         waited=round(trio.current_time() - waiting.since, 4),
     )
@@ -66,7 +71,7 @@
     """Returns who ended the attempt."""
     if isinstance(cause, errors.UpstreamError):
         return cause.ended_by
-    if answer.gone:
+    if answer.disconnected:
         return errors.EndedBy.CALLER
     return errors.EndedBy.ROUTER
 
@@ -75,7 +80,7 @@
     answer: interfaces.CallerAnswer, waiting: silence.Waiting
 ) -> str:
     """Returns who was waited for, empty if it was nobody."""
-    if answer.mid_write:
+    if answer.write_pending:
         return 'caller'
     return 'upstream' if waiting.reading else ''
 
@@ -84,6 +89,6 @@
     ticket: tickets.Ticket, answer: interfaces.CallerAnswer
 ) -> str:
     """Returns why an attempt was cancelled, in words."""
-    if answer.gone:
+    if answer.disconnected:
         return CALLER_LEFT
-    return DEADLINE if ticket.left <= 0 else STOPPED
+    return DEADLINE if ticket.seconds_left <= 0 else STOPPED
--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -8,8 +8,8 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination.forwarding import attempts as attempts_module
-from lavenderbend.coordination.forwarding import entry as entry_module
-from lavenderbend.coordination.forwarding import records
+from lavenderbend.coordination.forwarding import decision_records
+from lavenderbend.coordination.forwarding import request_resolver
 from lavenderbend.observe import logs
 from lavenderbend.observe import metrics
 from lavenderbend.state import decisions as decisions_module
@@ -19,29 +19,29 @@
     from collections.abc import Iterable
 
     from lavenderbend.coordination.forwarding import budget as budget_module
-    from lavenderbend.coordination.forwarding import hops
     from lavenderbend.coordination.forwarding import interfaces
     from lavenderbend.coordination.forwarding import placing as placing_module
+    from lavenderbend.coordination.forwarding import request_spans
     from lavenderbend.coordination.forwarding import tickets
     from lavenderbend.state import forwarding
 
 # upstreams that no connection is to be had to cost half a second each; a caller
 # is told while it has time to go elsewhere
-MAX_UNREACHABLE_SLOW = 4
-SLOW_SECONDS = 2.0
+MAX_SLOW_UNREACHABLE = 4
+SLOW_CONNECT_SECONDS = 2.0
 # those of a VM that lives refuse at once
 MAX_UNREACHABLE = 16
 # other processes at the addresses of upstreams that are gone
 MAX_REPLACED = 4
-# for which a repeat may be held before it is sent: two connects that time out
-HOLD_SECONDS = 1.0
+# for which a repeat may be reserved before it is sent: two connects that time out
+RETRY_HOLD_SECONDS = 1.0
 
 SECONDS_BUCKETS = (0.025, 0.05, 0.1, 0.125, 0.25, 0.5, 0.6, 1.0, 2.0, 5.0, 15.0)
-ENDED = metrics.counter(
+REQUESTS_ENDED = metrics.counter(
     'lavenderbend_forward_requests_total',
     'Requests that ended, by rule and outcome.',
 )
-DURATION = metrics.histogram(
+REQUEST_SECONDS = metrics.histogram(
     'lavenderbend_forward_request_seconds',
     'Time from the first byte of a request to the end of its answer.',
     SECONDS_BUCKETS,
@@ -52,7 +52,7 @@
     """Forwards requests.
 
     Attributes:
-        entry: Finds rule and customer.
+        resolver: Finds rule and customer.
         chooser: Knows the upstreams.
         placing: Finds upstreams.
         attempts: Sends to one upstream.
@@ -65,18 +65,18 @@
 
     def __init__(
         self,
-        entry: entry_module.Entry,
+        resolver: request_resolver.RequestResolver,
         placing: placing_module.Placing,
         attempts: attempts_module.Attempts,
         budget: budget_module.RepeatBudget,
     ) -> None:
-        self.entry = entry
+        self.resolver = resolver
         self.placing = placing
         self.chooser = placing.chooser
         self.attempts = attempts
         self.budget = budget
         self.decisions: decisions_module.DecisionStore | None = None
-        self.tracer: hops.Tracer | None = None
+        self.tracer: request_spans.Tracer | None = None
         self.fleet_size: Callable[[], int] = lambda: 1
 
     async def forward(
@@ -90,28 +90,28 @@
             RequestError: It has no answer from an upstream.
         """
         ticket = None
-        hop = None
+        span = None
         outcome = 'cancelled'
         detail = ''
         if self.tracer is not None:
-            hop = self.tracer.begin_request(request)
+            span = self.tracer.begin_request(request)
         try:
-            ticket = await self.entry.admit(request)
-            ticket.hop = hop
-            self.note_admitted(ticket)
-            await self.until_deadline(ticket, answer)
-            outcome = records.ANSWERED
+            ticket = await self.resolver.admit(request)
+            ticket.span = span
+            self.log_admitted(ticket)
+            await self.run_until_deadline(ticket, answer)
+            outcome = decision_records.ANSWERED
         except errors.RequestError as exc:
             outcome = exc.kind
             detail = exc.detail
             raise
         finally:
-            self.note_end(request, ticket, answer, outcome, detail)
-            if hop is not None:
-                error = '' if outcome == records.ANSWERED else outcome
-                self.tracer.end_request(hop, ticket, error)
+            self.record_end(request, ticket, answer, outcome, detail)
+            if span is not None:
+                error = '' if outcome == decision_records.ANSWERED else outcome
+                self.tracer.end_request(span, ticket, error)
 
-    def note_admitted(self, ticket: tickets.Ticket) -> None:
+    def log_admitted(self, ticket: tickets.Ticket) -> None:
         """Writes what the entry decided, if the request has such lines."""
         ticket.logged = logs.sample_request()
         if not ticket.logged:
@@ -120,16 +120,16 @@
             'request_admitted',
             request=ticket.id,
             rule=ticket.rule.name,
-            version=self.entry.version,
-            age=round(self.entry.followed.age, 3),
+            version=self.resolver.version,
+            age=round(self.resolver.snapshots.age, 3),
             customer=ticket.customer,
             service=ticket.service,
-            chat=ticket.need.chat,
+            chat=ticket.prompt.chat,
             rank=ticket.rank,
-            seconds_left=round(ticket.left, 3),
+            seconds_left=round(ticket.seconds_left, 3),
         )
 
-    def note_end(
+    def record_end(
         self,
         request: interfaces.CallerRequest,
         ticket: tickets.Ticket | None,
@@ -138,32 +138,38 @@
         detail: str,
     ) -> None:
         """Counts a request and writes its line."""
-        if answer.gone:
+        if answer.disconnected:
             outcome = errors.CallerGone.kind
         seconds = trio.current_time() - request.arrived
-        request_id = request.header(self.entry.headers.request_id) or ''
-        placed = [] if ticket is None else ticket.placed
+        request_id = request.header(self.resolver.headers.request_id) or ''
+        placed = [] if ticket is None else ticket.attempts
         rule = '' if ticket is None else ticket.rule.name
-        ENDED.inc({'rule': rule, 'outcome': outcome})
-        DURATION.observe({}, seconds)
-        ordinary = outcome == records.ANSWERED and len(placed) == 1
+        REQUESTS_ENDED.inc({'rule': rule, 'outcome': outcome})
+        REQUEST_SECONDS.observe({}, seconds)
+        ordinary = outcome == decision_records.ANSWERED and len(placed) == 1
         logs.request_ended(
             ordinary and not ticket.logged,
             request=request_id,
             rule=rule,
-            version=self.entry.version,
-            age=round(self.entry.followed.age, 3),
+            version=self.resolver.version,
+            age=round(self.resolver.snapshots.age, 3),
             customer='' if ticket is None else ticket.customer,
             service='' if ticket is None else ticket.service,
-            placed=[f'{one.upstream} {one.reason}' for one in placed],
-            passed_over=passed_over_texts(placed),
-            copied_from=[one.copied_from for one in placed if one.copied_from],
-            sent_to=[] if ticket is None else ticket.used,
+            placed=[
+                f'{attempt.upstream} {attempt.reason}' for attempt in placed
+            ],
+            passed_over=passed_over_summaries(placed),
+            copied_from=[
+                attempt.copied_from for attempt in placed if attempt.copied_from
+            ],
+            sent_to=[] if ticket is None else ticket.sent_to,
             unreachable=[] if ticket is None else ticket.unreachable,
             outcome=outcome,
             detail=detail,
             may_have_run=ticket is not None and ticket.may_have_run,
-            last_event=None if ticket is None else ticket.cutter.read.number,
+            last_event=None
+            if ticket is None
+            else ticket.splitter.read_position.number,
             peers=self.fleet_size(),
             budget_parts=self.budget.parts(),
             began=answer.started,
@@ -171,17 +177,17 @@
         )
         if self.decisions is not None:
             self.decisions.add(
-                records.decision(
+                decision_records.make_decision(
                     request,
                     request_id,
                     ticket,
-                    self.entry.version,
+                    self.resolver.version,
                     outcome,
                     detail,
                 )
             )
 
-    async def until_deadline(
+    async def run_until_deadline(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
         """Has a request answered until its deadline.
@@ -190,14 +196,14 @@
             RequestError: It was not.
         """
         with trio.CancelScope(deadline=ticket.deadline) as scope:
-            await self.run(ticket, answer)
+            await self.run_attempts(ticket, answer)
         if not scope.cancelled_caught:
             return
         if ticket.may_have_run:
             raise errors.OutcomeUnknown('no answer before the deadline')
         raise errors.NoUpstream('not sent before the deadline')
 
-    async def run(
+    async def run_attempts(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
         """Sends a request to one upstream after the other.
@@ -210,9 +216,9 @@
         while (upstream := await self.next_upstream(ticket)) is not None:
             if await self.try_upstream(ticket, upstream, answer):
                 return
-            if not self.go_on(ticket, answer):
+            if not self.may_continue(ticket, answer):
                 break
-        await self.give_up(ticket, answer)
+        await self.finish_unanswered(ticket, answer)
 
     async def try_upstream(
         self,
@@ -221,14 +227,14 @@
         answer: interfaces.CallerAnswer,
     ) -> bool:
         """Sends a request to an upstream; returns whether it has answered."""
-        record = ticket.placed[-1]
-        if ticket.hop is not None:
-            ticket.attempt_hop = self.tracer.begin_attempt(ticket, upstream)
+        record = ticket.attempts[-1]
+        if ticket.span is not None:
+            ticket.attempt_span = self.tracer.begin_attempt(ticket, upstream)
         try:
             await self.attempts.attempt(
-                ticket, upstream, answer, self.repeat_check(ticket, answer)
+                ticket, upstream, answer, self.retry_check(ticket, answer)
             )
-            record.result = records.COMPLETE
+            record.result = decision_records.COMPLETE
         except errors.UpstreamUnreachable as exc:
             record.result = type(exc).__name__
             ticket.unreachable.append(upstream.instance)
@@ -239,16 +245,16 @@
             record.result = type(exc).__name__
         finally:
             record.finished = trio.current_time() - record.started
-            if ticket.attempt_hop is not None:
-                ticket.attempt_hop.end(failed_result(record))
-        return record.result == records.COMPLETE
+            if ticket.attempt_span is not None:
+                ticket.attempt_span.end(failed_result(record))
+        return record.result == decision_records.COMPLETE
 
     async def next_upstream(
         self, ticket: tickets.Ticket
     ) -> forwarding.Upstream | None:
         """Returns the upstream that comes next, None if there is none."""
         choice = await self.placing.choose(ticket)
-        ticket.wanted_in = choice.wanted_in
+        ticket.retry_after_seconds = choice.wanted_in
         if choice.upstream is None:
             return None
         record = decisions_module.Attempt(
@@ -257,11 +263,11 @@
             passed_over=choice.passed_over,
             started=trio.current_time(),
         )
-        ticket.placed.append(record)
-        note_sent(ticket, record)
+        ticket.attempts.append(record)
+        log_request_sent(ticket, record)
         return choice.upstream
 
-    def repeat_check(
+    def retry_check(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> Callable[[], bool]:
         """Returns what tells whether an attempt may be followed by another.
@@ -278,68 +284,75 @@
                 return False
             if not self.chooser.any_wants(ticket.service):
                 return False
-            self.drop_lapsed(ticket)
+            self.release_expired_retry(ticket)
             if ticket.may_send:
                 return True
             if not self.budget.available(ticket.service):
                 return False
-            return self.take_repeat(ticket)
+            return self.reserve_retry(ticket)
 
         return check
 
-    def take_repeat(self, ticket: tickets.Ticket) -> bool:
+    def reserve_retry(self, ticket: tickets.Ticket) -> bool:
         """Takes a repeat for a request, if it may have one."""
-        if ticket.sends_left <= 0:
+        if ticket.attempts_left <= 0:
             return False
         if not self.budget.try_take(ticket.service):
             return False
-        ticket.repeats += 1
-        ticket.repeat_at = trio.current_time()
+        ticket.retries += 1
+        ticket.retry_reserved_at = trio.current_time()
         return True
 
-    def drop_lapsed(self, ticket: tickets.Ticket) -> None:
+    def release_expired_retry(self, ticket: tickets.Ticket) -> None:
         """Forgets a repeat that was taken and not sent for a while.
 
         Its wait ended by itself. Sent when its upstream fails much later, it
         would come on top of all that the fleet may repeat by then.
         """
-        held = ticket.used and ticket.may_send
-        if held and trio.current_time() - ticket.repeat_at > HOLD_SECONDS:
-            ticket.repeats -= 1
-
-    def go_on(
+        reserved = ticket.sent_to and ticket.may_send
+        if (
+            reserved
+            and trio.current_time() - ticket.retry_reserved_at
+            > RETRY_HOLD_SECONDS
+        ):
+            ticket.retries -= 1
+
+    def may_continue(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> bool:
         """Returns whether another upstream is tried."""
-        if answer.gone:
+        if answer.disconnected:
             return False
-        if answer.mid_write:
+        if answer.write_pending:
             # the caller may have a part of it: nothing can follow
             return False
         if ticket.may_have_run and not ticket.rule.then.repeatable:
             return False
         if answer.started and not self.may_resume(ticket):
             return False
-        self.drop_lapsed(ticket)
-        if self.gives_up_connecting(ticket):
+        self.release_expired_retry(ticket)
+        if self.connect_attempts_exhausted(ticket):
             return False
-        return ticket.may_send or self.take_repeat(ticket)
+        return ticket.may_send or self.reserve_retry(ticket)
 
-    def gives_up_connecting(self, ticket: tickets.Ticket) -> bool:
+    def connect_attempts_exhausted(self, ticket: tickets.Ticket) -> bool:
         """Returns whether enough upstreams were found gone."""
         if len(ticket.replaced) >= MAX_REPLACED:
             return True
         tried = len(ticket.unreachable)
-        if tried < MAX_UNREACHABLE_SLOW:
+        if tried < MAX_SLOW_UNREACHABLE:
             return False
         waited = trio.current_time() - ticket.request.arrived
-        return waited >= SLOW_SECONDS or tried >= MAX_UNREACHABLE
+        return waited >= SLOW_CONNECT_SECONDS or tried >= MAX_UNREACHABLE
 
     def may_resume(self, ticket: tickets.Ticket) -> bool:
         """Returns whether another upstream can go on with a stream."""
-        return ticket.rule.then.resumable and ticket.cutter.written.numbered
+        return (
+            ticket.rule.then.resumable
+            and ticket.splitter.written_position.numbered
+        )
 
-    async def give_up(
+    async def finish_unanswered(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
         """Answers a request that no further upstream is tried for.
@@ -351,26 +364,30 @@
             RequestError: No upstream answered.
         """
         if ticket.fallback is not None and not answer.started:
-            held = ticket.fallback
-            await answer.whole(held.head.status, held.head.headers, held.body)
+            fallback = ticket.fallback
+            await answer.send_whole(
+                fallback.head.status, fallback.head.headers, fallback.body
+            )
             return
         if ticket.may_have_run:
             raise errors.OutcomeUnknown('the upstream broke off')
         cause = f'no upstream of {ticket.service!r} is known'
-        if ticket.placed:
+        if ticket.attempts:
             cause = 'no upstream took the request'
-        if ticket.wanted_in:
+        if ticket.retry_after_seconds:
             cause = f'no upstream of {ticket.service!r} wants requests now'
-        seconds = entry_module.come_back_seconds(ticket.left)
-        raise errors.NoUpstream(cause, max(seconds, ticket.wanted_in))
+        seconds = request_resolver.retry_after_seconds(ticket.seconds_left)
+        raise errors.NoUpstream(cause, max(seconds, ticket.retry_after_seconds))
 
 
-def note_sent(ticket: tickets.Ticket, record: decisions_module.Attempt) -> None:
+def log_request_sent(
+    ticket: tickets.Ticket, record: decisions_module.Attempt
+) -> None:
     """Writes where a request is sent now, and why there.
 
     A repeat always has its line: it spends what the fleet may repeat.
     """
-    number = len(ticket.placed)
+    number = len(ticket.attempts)
     if not ticket.logged and number == 1:
         return
     logs.change(
@@ -379,21 +396,23 @@
         attempt=number,
         upstream=record.upstream,
         why=record.reason,
-        passed_over=passed_over_texts([record]),
-        after_event=ticket.cutter.written.number,
-        seconds_left=round(ticket.left, 3),
+        passed_over=passed_over_summaries([record]),
+        after_event=ticket.splitter.written_position.number,
+        seconds_left=round(ticket.seconds_left, 3),
     )
 
 
 def failed_result(record: decisions_module.Attempt) -> str:
     """Returns how an attempt failed, empty if it did not."""
-    return '' if record.result == records.COMPLETE else record.result
+    return '' if record.result == decision_records.COMPLETE else record.result
 
 
-def passed_over_texts(placed: Iterable[decisions_module.Attempt]) -> list[str]:
+def passed_over_summaries(
+    placed: Iterable[decisions_module.Attempt],
+) -> list[str]:
     """Returns which upstreams were not taken, and why, for the log."""
     return [
-        f'{one.upstream} {one.reason}'
+        f'{candidate.upstream} {candidate.reason}'
         for attempt in placed
-        for one in attempt.passed_over
+        for candidate in attempt.passed_over
     ]
--- a/lavenderbend/coordination/forwarding/interfaces.py
+++ b/lavenderbend/coordination/forwarding/interfaces.py
@@ -54,18 +54,20 @@
     Attributes:
         started: Whether the caller has been sent a part of it.
         finished: Whether the caller has all of it.
-        mid_write: Whether a write has begun and not ended. If it was cut, how
+        write_pending: Whether a write has begun and not ended. If it was cut, how
             much of it the caller has is not known, and nothing may follow.
-        gone: Whether the caller closed its connection before that.
+        disconnected: Whether the caller closed its connection before that.
     """
 
     started = False
     finished = False
-    mid_write = False
-    gone = False
+    write_pending = False
+    disconnected = False
 
     @abc.abstractmethod
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_whole(
+        self, status: int, headers: Headers, body: bytes
+    ) -> None:
         """Sends an answer of known length."""
 
     @abc.abstractmethod
--- a/lavenderbend/coordination/forwarding/leaving.py
+++ b/lavenderbend/coordination/forwarding/leaving.py
@@ -15,37 +15,41 @@
 
 LIVE = upstreams.VmState.LIVE
 # an entry that lapsed may be back, and say less than the upstream's answers did
-SAID_SECONDS = 60.0
+ANNOUNCED_SECONDS = 60.0
 
 
-class Leaving:
+class LeavingUpstreams:
     """Knows who leaves by what others saw in the store, and by answers.
 
     Attributes:
-        left: Upstreams that other routers saw leave, and the revision of the
+        left_revisions: Upstreams that other routers saw leave, and the revision of the
             store that shows it. What an entry says later counts.
-        said: Upstreams whose answers say that they leave, and the router
+        announced: Upstreams whose answers say that they leave, and the router
             clock at which they were last known to be there. No entry unsays
             it: one that was written before may come into the store later.
     """
 
     def __init__(self) -> None:
-        self.left: dict[str, int] = {}
-        self.said: dict[str, float] = {}
+        self.left_revisions: dict[str, int] = {}
+        self.announced: dict[str, float] = {}
 
-    def stays(self, upstream: forwarding.Upstream) -> bool:
+    def is_staying(self, upstream: forwarding.Upstream) -> bool:
         """Returns whether nothing is known of the upstream's leaving."""
-        if upstream.vm.state is not LIVE or upstream.instance in self.said:
+        if upstream.vm.state is not LIVE or upstream.instance in self.announced:
             return False
-        return self.left.get(upstream.instance, -1) < upstream.revision
+        return (
+            self.left_revisions.get(upstream.instance, -1) < upstream.revision
+        )
 
     def note_left(self, instance: str, revision: int) -> None:
         """Notes that a revision of the store shows an upstream to leave."""
-        self.left[instance] = max(revision, self.left.get(instance, -1))
+        self.left_revisions[instance] = max(
+            revision, self.left_revisions.get(instance, -1)
+        )
 
-    def note_said(self, instance: str) -> None:
+    def note_announced(self, instance: str) -> None:
         """Notes that an upstream says in its answers that it leaves."""
-        self.said[instance] = trio.current_time()
+        self.announced[instance] = trio.current_time()
 
     def forget(
         self, snapshot: forwarding.Snapshot, lapsed: Collection[str]
@@ -56,17 +60,17 @@
             snapshot: The snapshot.
             lapsed: Upstreams that it lacks and that may still be there.
         """
-        self.left = {
+        self.left_revisions = {
             instance: revision
-            for instance, revision in self.left.items()
+            for instance, revision in self.left_revisions.items()
             if revision > snapshot.revision or instance in lapsed
         }
         now = trio.current_time()
-        self.said = {
+        self.announced = {
             instance: at
-            for instance, at in self.said.items()
-            if at > now - SAID_SECONDS
+            for instance, at in self.announced.items()
+            if at > now - ANNOUNCED_SECONDS
         }
-        for instance in self.said:
+        for instance in self.announced:
             if instance in snapshot.upstreams or instance in lapsed:
-                self.said[instance] = now
+                self.announced[instance] = now
--- a/lavenderbend/coordination/forwarding/outgoing.py
+++ b/lavenderbend/coordination/forwarding/outgoing.py
@@ -27,7 +27,7 @@
     Attributes:
         cached: Knows where prompts are cached.
         headers: Names of the headers.
-        dropped: Headers of callers that are not passed on.
+        dropped_headers: Headers of callers that are not passed on.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
     ) -> None:
         self.cached = cached
         self.headers = headers
-        self.dropped = frozenset(
+        self.dropped_headers = frozenset(
             name.encode()
             for name in (
                 'authorization',
@@ -52,34 +52,36 @@
             )
         )
 
-    def make(
+    def build(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> interfaces.UpstreamRequest:
         """Returns what is sent to the upstream."""
         request = ticket.request
         headers = [
-            item
-            for item in hop_headers.end_to_end(request.headers)
-            if item[0] not in self.dropped
+            header
+            for header in hop_headers.end_to_end(request.headers)
+            if header[0] not in self.dropped_headers
         ]
         names = self.headers
         source = self.copy_source(ticket, upstream)
         if source is not None:
             headers.append((names.copy_from.encode(), source))
-        left = max(1, int(ticket.left * 1000))
-        headers.append((names.deadline.encode(), b'%d' % left))
+        milliseconds_left = max(1, int(ticket.seconds_left * 1000))
+        headers.append((names.deadline.encode(), b'%d' % milliseconds_left))
         headers.append((names.instance.encode(), upstream.vm.id.encode()))
         headers.append((names.rank.encode(), b'%d' % ticket.rank))
         if ticket.customer:
             headers.append((names.customer.encode(), ticket.customer.encode()))
         if request.body or request.method not in (b'GET', b'HEAD'):
             headers.append((b'content-length', b'%d' % len(request.body)))
-        if ticket.attempt_hop is not None:
-            headers = traced(headers, ticket.attempt_hop)
-        written = ticket.cutter.written.number
-        if written is not None:
-            headers = [item for item in headers if item[0] != LAST_EVENT_ID]
-            headers.append((LAST_EVENT_ID, b'%d' % written))
+        if ticket.attempt_span is not None:
+            headers = with_trace_headers(headers, ticket.attempt_span)
+        last_event = ticket.splitter.written_position.number
+        if last_event is not None:
+            headers = [
+                header for header in headers if header[0] != LAST_EVENT_ID
+            ]
+            headers.append((LAST_EVENT_ID, b'%d' % last_event))
         return interfaces.UpstreamRequest(
             id=ticket.id.encode('latin-1'),
             id_header=names.request_id.encode(),
@@ -89,7 +91,7 @@
             body=request.body,
         )
 
-    def note_taken(
+    def note_prompt_read(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
         """Notes that an upstream has read the prompt, by its own answer.
@@ -97,38 +99,42 @@
         One that refused the request, or broke off before, has not: the next
         upstream would ask it for a copy, and read the whole prompt anew.
         """
-        if ticket.need.parts and self.headers.copy_from:
+        if ticket.prompt.parts and self.headers.copy_from:
             self.cached.note_sent(
-                ticket.need.chat,
-                ticket.need.parts,
+                ticket.prompt.chat,
+                ticket.prompt.parts,
                 upstream.instance,
-                elsewhere=bool(ticket.placed[-1].passed_over),
+                elsewhere=bool(ticket.attempts[-1].passed_over),
             )
 
     def copy_source(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> bytes | None:
         """Returns the address from which cached prompt parts are copied."""
-        if not ticket.need.parts or not self.headers.copy_from:
+        if not ticket.prompt.parts or not self.headers.copy_from:
             return None
         source = self.cached.source(
             ticket.service,
-            ticket.need.chat,
-            ticket.need.parts,
+            ticket.prompt.chat,
+            ticket.prompt.parts,
             upstream,
-            () if ticket.taken is None else ticket.taken.holders,
+            () if ticket.reservation is None else ticket.reservation.holders,
         )
         if source is None:
             return None
-        found = source.upstream
-        record = ticket.placed[-1]
-        record.copied_from = f'{found.instance}: {source.why}'
-        return f'{found.vm.host}:{found.vm.port}'.encode()
+        holder = source.upstream
+        record = ticket.attempts[-1]
+        record.copied_from = f'{holder.instance}: {source.why}'
+        return f'{holder.vm.host}:{holder.vm.port}'.encode()
 
 
-def traced(
-    headers: list[tuple[bytes, bytes]], hop: spans.Hop
+def with_trace_headers(
+    headers: list[tuple[bytes, bytes]], span: spans.Hop
 ) -> list[tuple[bytes, bytes]]:
     """Returns headers that name a span as the parent of the next hop."""
-    own = {name.encode(): value.encode() for name, value in hop.headers.items()}
-    return [item for item in headers if item[0] not in own] + [*own.items()]
+    own = {
+        name.encode(): value.encode() for name, value in span.headers.items()
+    }
+    return [header for header in headers if header[0] not in own] + [
+        *own.items()
+    ]
--- a/lavenderbend/coordination/forwarding/placing.py
+++ b/lavenderbend/coordination/forwarding/placing.py
@@ -133,14 +133,14 @@
     async def choose(self, ticket: tickets.Ticket) -> choice_module.Choice:
         """Returns where a request goes next, and has it counted there."""
         choice = self.chooser.choose(
-            ticket.service, ticket.need, ticket.tried, ticket.id
+            ticket.service, ticket.prompt, ticket.tried, ticket.id
         )
-        ticket.taken = None
-        if choice.upstream is None or not ticket.need.parts:
+        ticket.reservation = None
+        if choice.upstream is None or not ticket.prompt.parts:
             return choice
         if self.fleet_size() <= SMALL_FLEET:
             return choice
-        prompt = prompt_of(ticket.need.parts, ticket.need.chat)
+        prompt = prompt_of(ticket.prompt.parts, ticket.prompt.chat)
         offers = await self.ask(ticket, prompt, choice.allowed)
         # upstreams may have come or gone while owners were asked
         found = self.chooser.directory.candidates(ticket.service).by_name
@@ -149,9 +149,9 @@
         self.release(offers, chosen)
         if chosen is None:
             return self.chooser.choose(
-                ticket.service, ticket.need, ticket.tried, ticket.id
+                ticket.service, ticket.prompt, ticket.tried, ticket.id
             )
-        ticket.taken = reservations_module.Taken(
+        ticket.reservation = reservations_module.Taken(
             self.reservations,
             chosen.reservation,
             offers[0].reservation,
@@ -168,7 +168,9 @@
         bound: int,
     ) -> list[Offer]:
         """Returns what owners say, until one upstream is good enough."""
-        usable = self.chooser.usable(ticket.service, ticket.need, ticket.tried)
+        usable = self.chooser.usable(
+            ticket.service, ticket.prompt, ticket.tried
+        )
         offers: list[Offer] = []
         try:
             while wants_another(offers, bound):
@@ -176,7 +178,7 @@
                 if upstream is None:
                     break
                 found = await self.reservations.ask(
-                    upstream, prompt, ticket.left
+                    upstream, prompt, ticket.seconds_left
                 )
                 if found is None:
                     break
--- a/lavenderbend/coordination/forwarding/entry.py
+++ b/lavenderbend/coordination/forwarding/request_resolver.py
@@ -16,7 +16,9 @@
 
 if TYPE_CHECKING:
     from lavenderbend.coordination.forwarding import interfaces
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.state import forwarding
     from lavenderbend.state import forwarding_settings
 
@@ -24,21 +26,21 @@
 LAST_EVENT_ID = 'last-event-id'
 MAX_DEADLINE_MILLISECONDS = 24 * 3600 * 1000
 # a router that has just started or woken knows better after one read
-WAIT_FRESH_SECONDS = 0.3
+FRESH_WAIT_SECONDS = 0.3
 # callers come back at most after a third of the time that they have left
-COME_BACK_PART = 0.3
-MIN_COME_BACK_SECONDS = 0.05
-MAX_COME_BACK_SECONDS = 1.0
-SHARE_STEPS = 1_000_000
+RETRY_AFTER_FRACTION = 0.3
+MIN_RETRY_AFTER_SECONDS = 0.05
+MAX_RETRY_AFTER_SECONDS = 1.0
+POOL_SHARE_STEPS = 1_000_000
 
 
-def come_back_seconds(left: float) -> float:
+def retry_after_seconds(left: float) -> float:
     """Returns when a caller should ask again, by the time it has left."""
-    seconds = left * COME_BACK_PART
-    return min(max(seconds, MIN_COME_BACK_SECONDS), MAX_COME_BACK_SECONDS)
+    seconds = left * RETRY_AFTER_FRACTION
+    return min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
 
 
-class Entry:
+class RequestResolver:
     """Finds the rule and the customer of each request.
 
     Attributes:
@@ -51,11 +53,11 @@
 
     def __init__(
         self,
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         headers: forwarding_settings.ForwardHeaders,
         apply_seconds: float,
     ) -> None:
-        self.followed = followed
+        self.snapshots = snapshots
         self.headers = headers
         self.apply_seconds = apply_seconds
         self.version = -1
@@ -71,39 +73,41 @@
             RequestError: It is refused.
         """
         try:
-            return await self.decide(request)
+            return await self.resolve(request)
         except (errors.NoRuleMatched, errors.NotAuthenticated):
             # a router that was cut off or asleep may lack a route or a
             # credential: its caller must not be told that there is none
-            if self.followed.age < self.apply_seconds:
+            if self.snapshots.age < self.apply_seconds:
                 raise
             await self.require_fresh(self.apply_seconds, request)
-            return await self.decide(request)
+            return await self.resolve(request)
 
-    async def decide(self, request: interfaces.CallerRequest) -> tickets.Ticket:
+    async def resolve(
+        self, request: interfaces.CallerRequest
+    ) -> tickets.Ticket:
         """Returns the ticket by the version in force.
 
         Raises:
             RequestError: It is refused.
         """
-        table = self.followed.table
+        table = self.snapshots.table
         if table is None:
             await self.require_fresh(self.apply_seconds, request)
-            table = self.followed.table
+            table = self.snapshots.table
         if table is None:
             raise errors.NoConfiguration(
-                'no configuration was read yet', WAIT_FRESH_SECONDS
+                'no configuration was read yet', FRESH_WAIT_SECONDS
             )
         self.compile(table)
-        rule = self.compiled.find(self.facts(request))
+        rule = self.compiled.find(self.match_facts(request))
         if rule is None:
             self.unmatched += 1
             raise errors.NoRuleMatched('no rule matches')
         self.hits[rule.name] += 1
         customer = None
         if table.customers and not rule.then.public:
-            customer = await self.customer(request)
-        return self.ticket(request, rule, customer)
+            customer = await self.authenticate(request)
+        return self.make_ticket(request, rule, customer)
 
     def compile(self, table: forwarding.ForwardingTable) -> None:
         """Prepares the rules and credentials of a version, once."""
@@ -121,7 +125,9 @@
         self.customers = customers
         self.version = table.version
 
-    def facts(self, request: interfaces.CallerRequest) -> rules_module.Facts:
+    def match_facts(
+        self, request: interfaces.CallerRequest
+    ) -> rules_module.Facts:
         """Returns what rules look at."""
         host = (request.header('host') or '').lower()
         return rules_module.Facts(
@@ -131,7 +137,7 @@
             headers={'host': host.partition(':')[0]},
         )
 
-    async def customer(
+    async def authenticate(
         self, request: interfaces.CallerRequest
     ) -> forwarding.ForwardCustomer:
         """Returns the customer of a request's credential.
@@ -140,9 +146,9 @@
             ConfigurationStale: The credential may have been taken away.
             NotAuthenticated: There is no such credential.
         """
-        if not self.followed.may_serve_credentials():
+        if not self.snapshots.may_serve_credentials():
             await self.require_fresh(
-                self.followed.settings.revocation_seconds / 2, request
+                self.snapshots.settings.revocation_seconds / 2, request
             )
             return self.find_customer(request)
         return self.find_customer(request)
@@ -155,7 +161,7 @@
         Raises:
             NotAuthenticated: There is no such credential.
         """
-        table = self.followed.table
+        table = self.snapshots.table
         self.compile(table)
         value = request.header('authorization') or ''
         if value[: len(SCHEME)].lower() != SCHEME:
@@ -173,13 +179,13 @@
         Raises:
             ConfigurationStale: None came.
         """
-        if await self.followed.wait_fresh(seconds, WAIT_FRESH_SECONDS):
+        if await self.snapshots.wait_fresh(seconds, FRESH_WAIT_SECONDS):
             return
         left = self.caller_deadline(request, 1.0) - trio.current_time()
         raise errors.ConfigurationStale(
-            f'the configuration was last confirmed {self.followed.age:.1f} s '
+            f'the configuration was last confirmed {self.snapshots.age:.1f} s '
             'ago',
-            come_back_seconds(left),
+            retry_after_seconds(left),
         )
 
     def caller_deadline(
@@ -193,7 +199,7 @@
             seconds = min(seconds, stated)
         return request.arrived + seconds
 
-    def ticket(
+    def make_ticket(
         self,
         request: interfaces.CallerRequest,
         rule: forwarding.ForwardRule,
@@ -214,11 +220,11 @@
             customer='' if customer is None else customer.name,
             rank=rank,
             deadline=self.caller_deadline(request, then.timeout),
-            need=choice.Need(
+            prompt=choice.Need(
                 choice.parse_parts(request.header(self.headers.prompt_parts))
             ),
-            cutter=events.EventCutter(
-                events.parse_number(last.encode('latin-1'))
+            splitter=events.EventSplitter(
+                events.parse_event_number(last.encode('latin-1'))
             ),
         )
 
@@ -228,7 +234,7 @@
     if len(then.pools) == 1:
         return then.pools[0].pool
     total = sum(share.weight for share in then.pools)
-    unit = hashing.hash64(request_id) % SHARE_STEPS / SHARE_STEPS
+    unit = hashing.hash64(request_id) % POOL_SHARE_STEPS / POOL_SHARE_STEPS
     point = unit * total
     for share in then.pools:
         point -= share.weight
--- a/lavenderbend/coordination/forwarding/hops.py
+++ b/lavenderbend/coordination/forwarding/request_spans.py
@@ -34,22 +34,22 @@
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> spans.Hop:
         """Returns the span of one attempt."""
-        hop = spans.Hop('attempt', ticket.hop.headers, trace.SpanKind.CLIENT)
-        hop.note('upstream', upstream.instance)
-        return hop
+        span = spans.Hop('attempt', ticket.span.headers, trace.SpanKind.CLIENT)
+        span.note('upstream', upstream.instance)
+        return span
 
     def end_request(
-        self, hop: spans.Hop, ticket: tickets.Ticket | None, outcome: str
+        self, span: spans.Hop, ticket: tickets.Ticket | None, outcome: str
     ) -> None:
         """Ends the span of a request.
 
         Args:
-            hop: The span.
+            span: The span.
             ticket: What was decided, None if it was refused at the entry.
             outcome: Kind of the error, empty if it was answered.
         """
         if ticket is not None:
-            hop.note('request.id', ticket.id)
-            hop.note('rule', ticket.rule.name)
-            hop.note('service', ticket.service)
-        hop.end(outcome)
+            span.note('request.id', ticket.id)
+            span.note('rule', ticket.rule.name)
+            span.note('service', ticket.service)
+        span.end(outcome)
--- a/lavenderbend/coordination/forwarding/tickets.py
+++ b/lavenderbend/coordination/forwarding/tickets.py
@@ -43,25 +43,25 @@
         customer: The customer, empty on public rules.
         rank: Urgency told to upstreams.
         deadline: Router clock at which the caller has its final answer.
-        need: What it asks of its upstream.
-        cutter: Where the stream stands.
-        used: Instances that it was sent to.
-        placed: The upstreams that were chosen: why, what was passed over,
+        prompt: What it asks of its upstream.
+        splitter: Where the stream stands.
+        sent_to: Instances that it was sent to.
+        attempts: The upstreams that were chosen: why, what was passed over,
             and what became of each attempt.
-        taken: What the latest attempt is counted as by the owner of its
+        reservation: What the latest attempt is counted as by the owner of its
             upstream, None if it is not.
         unreachable: Instances that no connection was to be had to.
         replaced: Instances at whose addresses other processes answered.
-        repeats: Repeats that were taken for it, sent or not.
-        repeat_at: Router clock at which the last of them was taken.
+        retries: Repeats that were taken for it, sent or not.
+        retry_reserved_at: Router clock at which the last of them was taken.
         may_have_run: Whether an upstream may have begun to run it.
-        wanted_in: Seconds after which an upstream takes requests again, 0 if
+        retry_after_seconds: Seconds after which an upstream takes requests again, 0 if
             some do now.
         fingerprint: What it has in common with its repetitions, None until
             it is asked for.
         logged: Whether lines are written on it even if it ends well.
-        hop: The span of the request, None where nothing is traced.
-        attempt_hop: The span of the latest attempt, below it.
+        span: The span of the request, None where nothing is traced.
+        attempt_span: The span of the latest attempt, below it.
         fallback: A failure answered by an upstream, to be passed on if no
             other upstream does better.
     """
@@ -73,32 +73,32 @@
     customer: str
     rank: int
     deadline: float
-    need: choice.Need = attrs.field(factory=choice.Need)
-    cutter: events.EventCutter = attrs.field(factory=events.EventCutter)
-    used: list[str] = attrs.field(factory=list)
-    placed: list[decisions.Attempt] = attrs.field(factory=list)
-    taken: reservations.Taken | None = None
+    prompt: choice.Need = attrs.field(factory=choice.Need)
+    splitter: events.EventSplitter = attrs.field(factory=events.EventSplitter)
+    sent_to: list[str] = attrs.field(factory=list)
+    attempts: list[decisions.Attempt] = attrs.field(factory=list)
+    reservation: reservations.Taken | None = None
     unreachable: list[str] = attrs.field(factory=list)
     replaced: list[str] = attrs.field(factory=list)
-    repeats: int = 0
-    repeat_at: float = 0.0
+    retries: int = 0
+    retry_reserved_at: float = 0.0
     may_have_run: bool = False
-    wanted_in: float = 0.0
+    retry_after_seconds: float = 0.0
     fingerprint: int | None = None
     logged: bool = False
-    hop: spans.Hop | None = None
-    attempt_hop: spans.Hop | None = None
+    span: spans.Hop | None = None
+    attempt_span: spans.Hop | None = None
     fallback: WholeAnswer | None = None
 
     @property
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Seconds until the deadline."""
         return self.deadline - trio.current_time()
 
     @property
-    def sends_left(self) -> int:
+    def attempts_left(self) -> int:
         """Upstreams that it may still be sent to."""
-        return self.rule.then.attempts - len(self.used)
+        return self.rule.then.attempts - len(self.sent_to)
 
     @property
     def may_send(self) -> bool:
@@ -108,9 +108,9 @@
         connection costs none. One that other processes have replaced has not
         had the request, but those have: it costs a repeat and no attempt.
         """
-        return len(self.used) + len(self.replaced) <= self.repeats
+        return len(self.sent_to) + len(self.replaced) <= self.retries
 
     @property
     def tried(self) -> list[str]:
         """Instances that are of no use to it any more."""
-        return [*self.used, *self.unreachable, *self.replaced]
+        return [*self.sent_to, *self.unreachable, *self.replaced]
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -16,13 +16,13 @@
 from lavenderbend.coordination.forwarding import crashes
 from lavenderbend.coordination.forwarding import departures
 from lavenderbend.coordination.forwarding import directory
-from lavenderbend.coordination.forwarding import entry
 from lavenderbend.coordination.forwarding import forwarder
 from lavenderbend.coordination.forwarding import health
 from lavenderbend.coordination.forwarding import loads
 from lavenderbend.coordination.forwarding import outgoing
 from lavenderbend.coordination.forwarding import peers
 from lavenderbend.coordination.forwarding import placing
+from lavenderbend.coordination.forwarding import request_resolver
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
 from lavenderbend.coordination.forwarding import suspicions
@@ -74,9 +74,9 @@
         self.operators = self.make_operators()
         if settings.tracing.otlp_endpoint is not None:
             # its libraries are loaded only where spans go somewhere
-            from lavenderbend.coordination.forwarding import hops
+            from lavenderbend.coordination.forwarding import request_spans
 
-            self.forwarder.tracer = hops.Tracer()
+            self.forwarder.tracer = request_spans.Tracer()
 
     def make_knowledge(self) -> None:
         """Makes what knows the configuration, upstreams and their loads."""
@@ -114,7 +114,9 @@
         """Makes what requests go through."""
         settings = self.forwarding
         self.exchanges = upstream_exchanges.UpstreamExchanges()
-        self.crashes = crashes.Crashes(self.exchanges.accepts, self.peers.facts)
+        self.crashes = crashes.CrashDetector(
+            self.exchanges.accepts, self.peers.facts
+        )
         self.silence = silence.SilenceWatch(self.health)
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
@@ -125,17 +127,17 @@
         )
         self.health.on_suspect = self.suspicions.tell
         self.peers.on_learned = {
-            crashes.DEATH: self.crashes.learn,
-            crashes.CLEARED: self.crashes.learn,
-            departures.LEFT: self.departures.learn,
-            departures.LEAVING: self.departures.learn_word,
+            crashes.DEATH: self.crashes.apply_fact,
+            crashes.CLEARED: self.crashes.apply_fact,
+            departures.LEFT: self.departures.apply_departure,
+            departures.LEAVING: self.departures.apply_announcement,
             suspicions.SUSPECTED: self.suspicions.learn,
         }
         self.budget = budget.RepeatBudget(
             repeat_settings(settings), self.peers.budget_parts
         )
         self.forwarder = forwarder.Forwarder(
-            entry.Entry(
+            request_resolver.RequestResolver(
                 self.snapshots, settings.headers, settings.apply_seconds
             ),
             placing.Placing(
@@ -203,7 +205,7 @@
         self.forwarder.decisions = kept
         return forwarding_operators.ForwardingOperators(
             settings,
-            self.forwarder.entry,
+            self.forwarder.resolver,
             self.forwarder.chooser,
             self.peers,
             kept,
@@ -245,7 +247,7 @@
             address(text)[0] for text in forwarding.peers
         ]
         self.snapshots.settings = follow_settings(forwarding)
-        self.forwarder.entry.apply_seconds = forwarding.apply_seconds
+        self.forwarder.resolver.apply_seconds = forwarding.apply_seconds
         self.budget.settings = repeat_settings(forwarding)
         self.forwarder.chooser.load_factor = forwarding.load_factor
         restart = [
--- a/lavenderbend/transport/caller_answers.py
+++ b/lavenderbend/transport/caller_answers.py
@@ -51,19 +51,19 @@
             AnswerInterrupted: The write before was cut.
             CallerGone: The caller has closed.
         """
-        if self.mid_write:
+        if self.write_pending:
             # the caller would read these bytes as the rest of those that were
             # cut: a gap in its answer, or no answer in the protocol
             raise errors.AnswerInterrupted('the write before was cut')
         protocol = self.connection.protocol
         data = b''.join(protocol.send(event) or b'' for event in events)
-        self.mid_write = True
+        self.write_pending = True
         try:
             await self.connection.stream.send_all(data)
         except CONNECTION_ERRORS as exc:
-            self.gone = True
+            self.disconnected = True
             raise errors.CallerGone(type(exc).__name__) from exc
-        self.mid_write = False
+        self.write_pending = False
 
     def head(self, status: int, headers: interfaces.Headers) -> h11.Response:
         """Returns the head as an event."""
@@ -71,7 +71,7 @@
             headers = (*headers, (b'connection', b'close'))
         return h11.Response(status_code=status, headers=list(headers))
 
-    async def whole(
+    async def send_whole(
         self, status: int, headers: interfaces.Headers, body: bytes
     ) -> None:
         """Sends an answer of known length."""
@@ -122,6 +122,6 @@
         headers.append((b'retry-after', b'%g' % seconds))
     if close:
         headers.append((b'connection', b'close'))
-    await answer.whole(
+    await answer.send_whole(
         error.status, tuple(headers), problems.to_body(error, request_id)
     )
--- a/lavenderbend/transport/caller_connections.py
+++ b/lavenderbend/transport/caller_connections.py
@@ -182,7 +182,7 @@
             data = b''
         if data:
             return
-        answer.gone = True
+        answer.disconnected = True
         scope.cancel()
 
     async def refuse(self, error: errors.RequestError) -> None:
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -20,8 +20,8 @@
     from collections.abc import Iterator
 
     from lavenderbend.coordination.forwarding import choice as choice_module
-    from lavenderbend.coordination.forwarding import entry as entry_module
     from lavenderbend.coordination.forwarding import peers as peers_module
+    from lavenderbend.coordination.forwarding import request_resolver
     from lavenderbend.state import decisions as decisions_module
     from lavenderbend.state import forwarding
     from lavenderbend.state import settings as settings_module
@@ -38,7 +38,7 @@
     """What operators and their tools see of one forwarding router.
 
     Attributes:
-        entry: Rules and customers in force.
+        resolver: Rules and customers in force.
         chooser: Finds upstreams.
         peers: Other routers.
         decisions: The latest decisions.
@@ -48,16 +48,16 @@
     def __init__(
         self,
         settings: settings_module.RouterSettings,
-        entry: entry_module.Entry,
+        resolver: request_resolver.RequestResolver,
         chooser: choice_module.Chooser,
         peers: peers_module.Peers,
         decisions: decisions_module.DecisionStore,
     ) -> None:
-        self.entry = entry
+        self.resolver = resolver
         self.chooser = chooser
         self.peers = peers
         self.decisions = decisions
-        self.explainer = explain_module.Explainer(entry, chooser)
+        self.explainer = explain_module.Explainer(resolver, chooser)
         super().__init__(settings.id, settings, ROUTES)
 
 
@@ -100,7 +100,7 @@
 
 def status_json(app: ForwardingOperators) -> dict[str, Any]:
     """Returns what this router knows of the fleet."""
-    followed = app.entry.followed
+    followed = app.resolver.snapshots
     table = followed.table
     stale = not followed.may_serve_credentials()
     return {
@@ -114,7 +114,7 @@
         'routers': list(routers(app)),
         'pools': [] if table is None else list(pools(app, table)),
         'rules': [] if table is None else list(rule_hits(app, table)),
-        'unmatched': app.entry.unmatched,
+        'unmatched': app.resolver.unmatched,
         'decisions': len(app.decisions.entries),
     }
 
@@ -162,7 +162,7 @@
     app: ForwardingOperators, table: forwarding.ForwardingTable
 ) -> Iterator[dict[str, Any]]:
     """Yields each pool with its upstreams and their load."""
-    found = app.entry.followed.current.upstreams.values()
+    found = app.resolver.snapshots.current.upstreams.values()
     for pool in table.pools:
         members = [
             upstream_json(app, one)
@@ -208,5 +208,5 @@
             'pool': ', '.join(shares),
             'priority': str(rule.then.rank),
             'idempotent': rule.then.idempotent,
-            'hits': app.entry.hits[rule.name],
+            'hits': app.resolver.hits[rule.name],
         }
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -15,7 +15,6 @@
 from lavenderbend.coordination.forwarding import crashes
 from lavenderbend.coordination.forwarding import departures
 from lavenderbend.coordination.forwarding import directory
-from lavenderbend.coordination.forwarding import entry
 from lavenderbend.coordination.forwarding import facts
 from lavenderbend.coordination.forwarding import forwarder
 from lavenderbend.coordination.forwarding import health
@@ -25,6 +24,7 @@
 from lavenderbend.coordination.forwarding import peers
 from lavenderbend.coordination.forwarding import placing
 from lavenderbend.coordination.forwarding import prompt_holders
+from lavenderbend.coordination.forwarding import request_resolver
 from lavenderbend.coordination.forwarding import shared_loads
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.coordination.forwarding import snapshots
@@ -148,7 +148,7 @@
         self.body = b''
         self.heads = 0
 
-    async def whole(self, status, headers, body):
+    async def send_whole(self, status, headers, body):
         self.started = True
         await self.write()
         self.finished = True
@@ -170,9 +170,9 @@
         self.finished = True
 
     async def write(self):
-        self.mid_write = True
+        self.write_pending = True
         await trio.lowlevel.checkpoint()
-        self.mid_write = False
+        self.write_pending = False
 
 
 def reply(status=200, body=(b'done',), delay=0.0, then=None, **headers):
@@ -283,7 +283,7 @@
         self.exchanges = exchanges
         self.learned = []
         found = facts.Facts('10.0.0.1', self.learn)
-        self.crashes = crashes.Crashes(exchanges.accepts, found)
+        self.crashes = crashes.CrashDetector(exchanges.accepts, found)
         self.departures = departures.Departures(
             self.snapshots, self.directory, found
         )
@@ -291,7 +291,9 @@
         self.budget = budget.RepeatBudget(
             budget.RepeatSettings(0.2, 50.0, 10.0), lambda: fleet
         )
-        self.entry = entry.Entry(self.snapshots, HEADERS, 2.0)
+        self.resolver = request_resolver.RequestResolver(
+            self.snapshots, HEADERS, 2.0
+        )
         self.shared_loads = shared_loads.SharedLoads(self.snapshots, self.loads)
         self.cached = cached_prompts.CachedPrompts(
             self.directory,
@@ -310,7 +312,7 @@
             self.chooser, None, self.shared_loads.instances, lambda: 1
         )
         self.forwarder = forwarder.Forwarder(
-            self.entry,
+            self.resolver,
             self.placing,
             attempts.Attempts(
                 exchanges,
@@ -333,9 +335,9 @@
     def learn(self, fact):
         self.learned.append(fact)
         if fact.kind == departures.LEAVING:
-            self.departures.learn_word(fact)
+            self.departures.apply_announcement(fact)
         elif fact.kind != departures.LEFT:
-            self.crashes.learn(fact)
+            self.crashes.apply_fact(fact)
 
     async def ask(self, **fields):
         """Returns the caller's answer and the error, if there was one."""
@@ -444,7 +446,7 @@
             self.link,
             random.Random(host),
         )
-        self.crashes = crashes.Crashes(lambda one: True, self.peers.facts)
+        self.crashes = crashes.CrashDetector(lambda one: True, self.peers.facts)
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
@@ -452,10 +454,10 @@
             self.snapshots, self.directory, self.peers.facts
         )
         self.peers.on_learned = {
-            crashes.DEATH: self.crashes.learn,
-            crashes.CLEARED: self.crashes.learn,
-            departures.LEFT: self.departures.learn,
-            departures.LEAVING: self.departures.learn_word,
+            crashes.DEATH: self.crashes.apply_fact,
+            crashes.CLEARED: self.crashes.apply_fact,
+            departures.LEFT: self.departures.apply_departure,
+            departures.LEAVING: self.departures.apply_announcement,
             suspicions.SUSPECTED: self.suspicions.learn,
         }
         routers[host] = self
--- a/tests/test_coordination/test_forwarding_half_done.py
+++ b/tests/test_coordination/test_forwarding_half_done.py
@@ -42,9 +42,9 @@
 
 
 def next_choice(the_router, *used):
-    need = the_router.entry.ticket(
+    need = the_router.resolver.make_ticket(
         fakes.request(), the_router.snapshots.table.rules[0], None
-    ).need
+    ).prompt
     return the_router.chooser.choose(SERVICE, need, used, 'r1').upstream
 
 
@@ -201,15 +201,15 @@
     # version before, though they may have been taken away.
     rule = fakes.rule()
     the_router = router(rule, fakes.reply())
-    entry = the_router.entry
-    await entry.admit(fakes.request())
+    resolver = the_router.resolver
+    await resolver.admit(fakes.request())
     broken = (forwarding.ForwardCustomer('corte', (['k'],)),)
     table = fakes.table(2, (rule,), broken)
     the_router.snapshots.accept(fakes.snapshot(2, table, upstream('e1')), 1.0)
     for _ in range(2):
         with pytest.raises(TypeError):
-            await entry.admit(fakes.request())
-    assert entry.version == 1
+            await resolver.admit(fakes.request())
+    assert resolver.version == 1
 
 
 class OldSnapshots(fakes.Network):
@@ -347,13 +347,13 @@
     rule = fakes.rule(streaming=True, resumable=True, attempts=2)
     the_router = router(rule, fakes.reply())
     the_router.budget.settings = ONE_REPEAT
-    ticket = await the_router.entry.admit(fakes.request())
-    ticket.used.append('e1')
+    ticket = await the_router.resolver.admit(fakes.request())
+    ticket.sent_to.append('e1')
     answer = fakes.Answer()
-    assert the_router.forwarder.repeat_check(ticket, answer)()
+    assert the_router.forwarder.retry_check(ticket, answer)()
     await trio.sleep(11.0)
     assert the_router.budget.try_take(SERVICE)
-    assert not the_router.forwarder.go_on(ticket, answer)
+    assert not the_router.forwarder.may_continue(ticket, answer)
 
 
 async def test_success_told_by_another_router_clears_an_examined_death(
@@ -364,9 +364,9 @@
     nursery.start_soon(the_router.crashes.run)
     await trio.testing.wait_all_tasks_blocked()
     await the_router.ask()
-    (loss,) = the_router.crashes.losses
+    (loss,) = the_router.crashes.pending
     the_router.exchanges.dead |= set(NAMES)
-    subject = crashes.subject_of(loss.mark)
+    subject = crashes.fact_subject(loss.fingerprint)
     now = trio.current_time()
     cleared = facts.Fact(crashes.CLEARED, subject, '10.0.0.2 0', now, 60.0)
     the_router.crashes.facts.take(cleared)
@@ -378,7 +378,7 @@
     rule = fakes.rule(streaming=True, resumable=True, attempts=2)
     the_router = router(rule, LOST, fakes.reply(body=(event(1),)))
     answer = fakes.Answer()
-    answer.gone = True
+    answer.disconnected = True
     with pytest.raises(errors.OutcomeUnknown):
         await the_router.forwarder.forward(fakes.request(), answer)
     assert len(the_router.exchanges.sent) == 1
--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -115,7 +115,7 @@
     # guards against a message that ends the router or drops an upstream
     node = fleet.routers[HOSTS[3]]
     fleet.routers[HOSTS[0]].peers.facts.add(
-        departures.LEFT, 'e1', source, departures.MOST_SECONDS
+        departures.LEFT, 'e1', source, departures.FACT_SECONDS
     )
     await trio.sleep(1.0)
     assert names(node) == ['e1', 'e2']
@@ -169,7 +169,7 @@
     router = fakes.Router(
         fakes.snapshot(1, fakes.table(1), *found), fakes.Exchanges()
     )
-    router.departures.note_word('e1')
+    router.departures.note_announcement('e1')
     for revision in (2, 3):
         gone = fakes.snapshot(revision, fakes.table(revision), found[1])
         router.snapshots.accept(gone, trio.current_time())
@@ -202,7 +202,7 @@
     one = fleet.routers[HOSTS[0]]
     for host in HOSTS:
         fleet.isolate_from_store(host)
-    one.departures.note_word('e1')
+    one.departures.note_announcement('e1')
     await trio.sleep(1.0)
     for router in fleet.routers.values():
         assert names(router) == ['e2']
--- a/tests/test_coordination/test_forwarding_lines.py
+++ b/tests/test_coordination/test_forwarding_lines.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lavenderbend import errors
-from lavenderbend.coordination.forwarding import attempt_ends
+from lavenderbend.coordination.forwarding import failed_attempts
 from lavenderbend.coordination.forwarding import health
 from lavenderbend.coordination.forwarding import silence
 from lavenderbend.observe import log_writer
@@ -160,9 +160,9 @@
     seconds = 0.0
 
     async def send(self, data):
-        self.mid_write = True
+        self.write_pending = True
         await fakes.trio.sleep(self.seconds)
-        self.mid_write = False
+        self.write_pending = False
         self.body += data
 
 
@@ -217,7 +217,7 @@
     subject = router([fakes.reply(body=(event(1), event(2)))], STREAM)
     line = await ended_attempt(lines, subject, answer, x_deadline_ms='500')
     assert (line['kind'], line['ended_by']) == ('Cancelled', 'router')
-    assert line['cause'] == attempt_ends.DEADLINE
+    assert line['cause'] == failed_attempts.DEADLINE
     assert (line['last_event'], line['written_event']) == (2, 1)
     assert line['waited_for'] == 'caller'
     assert line['waited'] == pytest.approx(0.2, abs=0.01)
@@ -238,7 +238,7 @@
 ):
     # connections of both are reset in the same moment
     answer = WritingAnswer()
-    answer.gone = True
+    answer.disconnected = True
     torn = fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER)
     line = await ended_attempt(lines, router([torn], STREAM), answer)
     assert line['ended_by'] == 'upstream'
--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -383,53 +383,53 @@
 def test_events_are_cut_where_they_end():
     whole = b'id: 1\ndata: a\n\nid: 2\ndata: b\n\n'
     for cut in range(len(whole)):
-        cutter = events.EventCutter()
-        got = cutter.feed(whole[:cut])
+        splitter = events.EventSplitter()
+        got = splitter.feed(whole[:cut])
         assert whole.startswith(got)
         assert not got or got.endswith(b'\n\n')
-        assert got + cutter.feed(whole[cut:]) == whole
-        assert cutter.read.number == 2
+        assert got + splitter.feed(whole[cut:]) == whole
+        assert splitter.read_position.number == 2
 
 
 def test_events_that_were_not_written_are_asked_for_again():
     # Two events were read; the write of the second was cut. The upstream that
     # goes on must begin with it, and its numbers are checked from there.
-    cutter = events.EventCutter()
-    cutter.feed(b'id: 1\ndata: a\n\n')
-    cutter.note_written()
-    cutter.feed(b'id: 2\ndata: b\n\nid: 3\nda')
-    assert cutter.written.number == 1
-    cutter.restart()
+    splitter = events.EventSplitter()
+    splitter.feed(b'id: 1\ndata: a\n\n')
+    splitter.mark_written()
+    splitter.feed(b'id: 2\ndata: b\n\nid: 3\nda')
+    assert splitter.written_position.number == 1
+    splitter.restart()
     with pytest.raises(errors.AnswerContradicts):
-        cutter.feed(b'id: 3\ndata: c\n\n')
-    assert cutter.feed(b'id: 2\ndata: b\n\n')
+        splitter.feed(b'id: 3\ndata: c\n\n')
+    assert splitter.feed(b'id: 2\ndata: b\n\n')
 
 
 async def test_upstream_is_asked_to_go_on_behind_what_was_written():
     one = fakes.upstream('e1')
     content = fakes.snapshot(1, fakes.table(), one)
     router = fakes.Router(content, fakes.Exchanges(e1=[fakes.reply()]))
-    ticket = await router.entry.admit(fakes.request(last_event_id='7'))
-    ticket.cutter.feed(b'id: 8\ndata: b\n\n')
-    made = router.forwarder.attempts.requests.make(ticket, one)
+    ticket = await router.resolver.admit(fakes.request(last_event_id='7'))
+    ticket.splitter.feed(b'id: 8\ndata: b\n\n')
+    made = router.forwarder.attempts.requests.build(ticket, one)
     assert dict(made.headers)[b'last-event-id'] == b'7'
-    ticket.cutter.note_written()
-    made = router.forwarder.attempts.requests.make(ticket, one)
+    ticket.splitter.mark_written()
+    made = router.forwarder.attempts.requests.build(ticket, one)
     assert dict(made.headers)[b'last-event-id'] == b'8'
 
 
 @pytest.mark.parametrize('number', [1, 2, 4])
 def test_event_out_of_order_is_refused(number):
-    cutter = events.EventCutter(2)
+    splitter = events.EventSplitter(2)
     with pytest.raises(errors.AnswerContradicts):
-        cutter.feed(b'id: %d\ndata: a\n\n' % number)
+        splitter.feed(b'id: %d\ndata: a\n\n' % number)
 
 
 def test_event_without_end_is_bounded():
-    cutter = events.EventCutter()
+    splitter = events.EventSplitter()
     with pytest.raises(errors.UpstreamBroke):
         for _ in range(100):
-            cutter.feed(b'x' * 20_000)
+            splitter.feed(b'x' * 20_000)
 
 
 async def test_failing_upstream_is_avoided_longer_each_time(autojump_clock):
--- a/tests/test_coordination/test_forwarding_path.py
+++ b/tests/test_coordination/test_forwarding_path.py
@@ -454,8 +454,8 @@
     # Two upstreams die while they have the same harmless request, which has
     # succeeded between the deaths.
     the_router = router(both(fakes.reply()), ONCE)
-    ticket = await the_router.entry.admit(fakes.request())
-    subject = crashes.subject_of(the_router.crashes.fingerprint(ticket))
+    ticket = await the_router.resolver.admit(fakes.request())
+    subject = crashes.fact_subject(the_router.crashes.fingerprint(ticket))
     known = the_router.crashes.facts
     for name in ('gone-1', 'gone-2'):
         await trio.sleep(0.1)
@@ -536,7 +536,7 @@
     router = fakes.Router(
         fakes.snapshot(1, fakes.table(1, (stays,))), fakes.Exchanges()
     )
-    router.entry.compile(fakes.table(1, (stays,)))
-    (before,) = router.entry.compiled.rules
-    router.entry.compile(fakes.table(2, (fakes.rule(), stays)))
-    assert router.entry.compiled.rules[1] is before
+    router.resolver.compile(fakes.table(1, (stays,)))
+    (before,) = router.resolver.compiled.rules
+    router.resolver.compile(fakes.table(2, (fakes.rule(), stays)))
+    assert router.resolver.compiled.rules[1] is before
--- a/tests/test_coordination/test_forwarding_peers.py
+++ b/tests/test_coordination/test_forwarding_peers.py
@@ -193,11 +193,11 @@
 ):
     known = fleet.routers[HOSTS[0]].peers.facts
     for name in ('e1', 'e2'):
-        known.add(crashes.DEATH, crashes.subject_of(7), name, 60.0)
+        known.add(crashes.DEATH, crashes.fact_subject(7), name, 60.0)
     await trio.sleep(5.0)
     node = fleet.add('10.0.0.9')
     await trio.sleep(1.5)
-    assert node.crashes.deaths(7) == ['e1', 'e2']
+    assert node.crashes.crashed_upstreams(7) == ['e1', 'e2']
 
 
 async def test_upstreams_that_leave_hide_nothing_from_a_router_that_starts(
@@ -205,7 +205,7 @@
 ):
     # guards against a release that keeps a new router from hearing of a death
     known = fleet.routers[HOSTS[0]].peers.facts
-    known.add(crashes.DEATH, crashes.subject_of(7), 'e1', 60.0)
+    known.add(crashes.DEATH, crashes.fact_subject(7), 'e1', 60.0)
     for number in range(20):
         known.add(departures.LEFT, f'x{number}', '1', 30.0)
     told = [kind for kind, *_ in known.told_to_new()]
@@ -251,7 +251,7 @@
         loads.begin(one.instance)
         loads.note_report(one.instance, b'31,95,32')
         peers.facts.add(
-            crashes.DEATH, crashes.subject_of(2**64 - 1), one.instance, 60.0
+            crashes.DEATH, crashes.fact_subject(2**64 - 1), one.instance, 60.0
         )
     for number in range(500):
         peers.prompts.note_chat(f'chat-{number}', f'i-{number:08x}')
--- a/tests/test_coordination/test_forwarding_spans.py
+++ b/tests/test_coordination/test_forwarding_spans.py
@@ -8,7 +8,7 @@
 from opentelemetry.sdk.trace.export import in_memory_span_exporter
 import pytest
 
-from lavenderbend.coordination.forwarding import hops
+from lavenderbend.coordination.forwarding import request_spans
 from lavenderbend.observe import tracing
 from tests import forwarding_fakes as fakes
 
@@ -32,7 +32,7 @@
     found = [fakes.upstream('e1'), fakes.upstream('e2')]
     content = fakes.snapshot(1, fakes.table(1, (rule,)), *found)
     subject = fakes.Router(content, exchanges)
-    subject.forwarder.tracer = hops.Tracer()
+    subject.forwarder.tracer = request_spans.Tracer()
     return subject
 
 
--- a/tests/test_daemon/test_daemon_forwarding.py
+++ b/tests/test_daemon/test_daemon_forwarding.py
@@ -28,4 +28,4 @@
     shorter = attrs.evolve(settings.forwarding, apply_seconds=0.5)
     daemon.reload(attrs.evolve(settings, forwarding=shorter))
     assert daemon.snapshots.settings.apply_seconds == 0.5
-    assert daemon.forwarder.entry.apply_seconds == 0.5
+    assert daemon.forwarder.resolver.apply_seconds == 0.5
--- a/tests/test_transport/test_caller_connections.py
+++ b/tests/test_transport/test_caller_connections.py
@@ -34,13 +34,13 @@
         await self.step(request, answer)
 
     async def echo(self, request, answer):
-        await answer.whole(200, ((b'x-a', b'1'),), request.body or b'-')
+        await answer.send_whole(200, ((b'x-a', b'1'),), request.body or b'-')
 
     async def hang(self, request, answer):
         try:
             await trio.sleep_forever()
         finally:
-            if answer.gone:
+            if answer.disconnected:
                 self.left.set()
 
     async def half(self, request, answer):
@@ -51,7 +51,7 @@
     async def cut(self, request, answer):
         with trio.CancelScope() as scope:
             scope.cancel()
-            await answer.whole(200, (), b'never written')
+            await answer.send_whole(200, (), b'never written')
         self.step = self.echo
         raise errors.OutcomeUnknown('no answer before the deadline')
 
--- a/tests/test_transport/test_forwarding_operators.py
+++ b/tests/test_transport/test_forwarding_operators.py
@@ -57,7 +57,7 @@
                 settings.KeyValueSettings(['http://127.0.0.1:1']),
                 operators=settings.OperatorSettings(operator_fakes.SALTED),
             ),
-            self.router.entry,
+            self.router.resolver,
             self.router.chooser,
             self.peers,
             self.kept,
