--- a/lavenderbend/coordination/forwarding/attempts.py
+++ b/lavenderbend/coordination/forwarding/attempts.py
@@ -1,4 +1,4 @@
-"""One request at one upstream."""
+"""One attempt to have a request answered by an upstream."""
 
 from __future__ import annotations
 
@@ -32,22 +32,34 @@
 SERVICE_UNAVAILABLE = 503
 HEADER_TRUE = b'1'
 RETRY_AFTER = b'retry-after'
-# an upstream that is only slow answers within this many targets; one that
-# hangs would use up the time that another needs
+# An upstream has this many latency targets to begin its response, and at most
+# this fraction of the time left: a slow upstream answers within that, and one
+# that hangs must leave time for another attempt.
 FIRST_BYTE_TARGET_MULTIPLE = 3.0
 MIN_FIRST_BYTE_SECONDS = 0.3
 FIRST_BYTE_TIME_FRACTION = 0.4
-# pauses of this many of the longest wanted ones are no slow upstream's
+# A stream stalls when it pauses for this many times the largest gap that the
+# rule aims for: a slow upstream does not pause that long.
 STALL_GAP_MULTIPLE = 4.0
 MIN_STALL_SECONDS = 0.8
 
 
 class Attempts:
-    """Sends requests to upstreams.
+    """Sends requests to upstreams and passes the responses to callers.
 
     Attributes:
         exchanges: Connections to upstreams.
-        requests: Makes what is sent to them.
+        directory: Known upstreams by service.
+        health: Failures of upstreams.
+        loads: Requests that each upstream has.
+        requests: Builds the requests to upstreams.
+        crashes: Detects requests that crash upstreams.
+        silence: Ends attempts at upstreams that send nothing.
+        departures: Shares with other routers which upstreams leave.
+        signature_header: Header that marks a success as the upstream's own.
+        not_run_header: Header that says that the request did not run.
+        load_header: Header with the load of the upstream.
+        leaving_header: Header that says that the upstream leaves.
     """
 
     def __init__(
@@ -82,20 +94,20 @@
         answer: interfaces.CallerAnswer,
         may_retry: Callable[[], bool],
     ) -> None:
-        """Sends a request to an upstream and its answer to the caller.
+        """Sends a request to an upstream and the response to the caller.
 
         Args:
             ticket: The request.
-            upstream: Where it goes.
-            answer: The caller's answer.
-            may_retry: Returns whether another upstream may follow, so that
-                this one is not waited for to the end; what it allows counts
-                against what may be repeated.
+            upstream: The upstream that it is sent to.
+            answer: The response to the caller.
+            may_retry: Returns whether another upstream may be tried, so that
+                this attempt can be ended early. Each retry that it allows
+                counts against the retry budget.
 
         Raises:
             UpstreamUnreachable: Nothing was sent.
-            UpstreamError: The caller has no whole answer yet; whether it
-                may have run is in the ticket.
+            UpstreamError: The caller has no complete response yet. Whether
+                the request may have run is in the ticket.
         """
         self.loads.begin(upstream.instance)
         try:
@@ -132,7 +144,8 @@
         """Returns a connection to the upstream.
 
         Raises:
-            UpstreamUnreachable: There is none to be had.
+            UpstreamUnreachable: The upstream accepts no connection.
+            UpstreamWithdrawn: It accepts no more requests.
         """
         try:
             exchange = await self.exchanges.open(
@@ -144,14 +157,14 @@
         if self.accepts_requests(ticket.service, upstream):
             return exchange
         exchange.close()
-        raise errors.UpstreamWithdrawn('it takes no more requests')
+        raise errors.UpstreamWithdrawn('upstream withdrawn while connecting')
 
     def accepts_requests(
         self, service: str, upstream: forwarding.Upstream
     ) -> bool:
-        """Returns whether an upstream still takes requests.
+        """Returns whether an upstream still accepts requests.
 
-        It may have left, or have asked for none, since it was chosen.
+        It may have left, or have sent a Retry-After, since it was chosen.
         """
         if self.health.wants_none(upstream.instance):
             return False
@@ -165,16 +178,16 @@
         answer: interfaces.CallerAnswer,
         waiting: silence_module.Waiting,
     ) -> None:
-        """Runs the exchange.
+        """Sends the request and passes the response on.
 
         Raises:
-            UpstreamError: The caller has no whole answer yet.
+            UpstreamError: The caller has no complete response yet.
         """
         ticket.sent_to.append(upstream.instance)
         ticket.splitter.restart()
         previously = ticket.may_have_run
-        # from the first byte on only the upstream can say that it did not
-        # run: a caller that is told so sends the request again
+        # Once the first byte is sent only the upstream can tell that the
+        # request did not run. A caller that is told so sends it again.
         ticket.may_have_run = True
         outgoing_request = self.requests.build(ticket, upstream)
         head = await waiting.read(lambda: exchange.send(outgoing_request))
@@ -185,7 +198,7 @@
         if self.reports_not_run(head):
             ticket.may_have_run = previously
             if head.status == MISDIRECTED:
-                # the upstream that was meant has not had it
+                # The intended upstream has not received the request.
                 ticket.sent_to.remove(upstream.instance)
             await self.raise_refusal(upstream, exchange, head, waiting)
         self.check_answer(head)
@@ -209,11 +222,11 @@
         answer: interfaces.CallerAnswer,
         waiting: silence_module.Waiting,
     ) -> None:
-        """Passes an answer on that is read whole first.
+        """Reads a response completely, then passes it on.
 
         Raises:
-            UpstreamError: It is a failure that another upstream may make
-                good, or broke off.
+            UpstreamError: The response broke off, or it is a server error
+                after which another upstream is tried.
         """
         body = await read_body(exchange, waiting)
         failed = head.status >= SERVER_ERROR
@@ -222,34 +235,36 @@
         else:
             self.note_success(ticket, upstream)
         if answer.started:
-            # a stream that is resumed has its head; a second one within it
-            # would reach the caller as bytes of no answer
-            raise errors.UpstreamError(f'answered {head.status} to a resume')
+            # The caller already has the head of the resumed stream. A second
+            # head would reach it as bytes of the body.
+            raise errors.UpstreamError(
+                f'upstream answered {head.status} to a resumed stream'
+            )
         if failed and waiting.may_repeat():
             ticket.fallback = tickets.WholeAnswer(head, body)
-            raise errors.UpstreamError(f'answered {head.status}')
+            raise errors.UpstreamError(f'upstream answered {head.status}')
         await answer.send_whole(head.status, head.headers, body)
 
     def note_failure(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
-        """Notes that a request did not run to a good end."""
+        """Records a failed attempt in the upstream's health."""
         others = self.directory.candidates(ticket.service).places.names
         self.health.note_failure(upstream.instance, others)
 
     def note_success(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
-        """Notes that a request ran to a good end."""
+        """Records that the upstream ran the request successfully."""
         self.health.note_success(upstream.instance)
         self.crashes.note_success(ticket)
 
     def note_head(
         self, upstream: forwarding.Upstream, head: interfaces.AnswerHead
     ) -> None:
-        """Notes what the upstream says of itself."""
+        """Records what the response headers say about the upstream."""
         if head.status == MISDIRECTED:
-            # another process speaks
+            # The response is from another process at the same address.
             return
         load = interfaces.header(head.headers, self.load_header)
         if load is not None:
@@ -262,14 +277,14 @@
     def note_retry_after(
         self, upstream: forwarding.Upstream, head: interfaces.AnswerHead
     ) -> None:
-        """Notes for how long an upstream wants no requests."""
+        """Records for how long an upstream asks for no requests."""
         value = interfaces.header(head.headers, RETRY_AFTER)
         seconds = parse_retry_after(value)
         if seconds > 0.0:
             self.health.note_unwanted(upstream.instance, seconds)
 
     def reports_not_run(self, head: interfaces.AnswerHead) -> bool:
-        """Returns whether the upstream says that it did not run it."""
+        """Returns whether the upstream reports that the request did not run."""
         if head.status == MISDIRECTED:
             return True
         if head.status < 400:
@@ -283,33 +298,41 @@
         head: interfaces.AnswerHead,
         waiting: silence_module.Waiting,
     ) -> None:
-        """Notes why the upstream refused.
+        """Records why the upstream refused the request.
 
         Raises:
-            UpstreamRefused: Always.
+            UpstreamReplaced: Another process answered at its address.
+            UpstreamRefused: In all other cases.
         """
         if head.status == MISDIRECTED:
             self.directory.misplaced.add(upstream.instance)
-            raise errors.UpstreamReplaced('another process is at its address')
+            raise errors.UpstreamReplaced(
+                'another process answered at the address of the upstream'
+            )
         self.health.note_full(upstream.instance)
         try:
             await read_body(exchange, waiting)
         except errors.UpstreamBroke as exc:
-            raise errors.UpstreamRefused(f'{head.status}, then {exc}') from exc
-        raise errors.UpstreamRefused(f'answered {head.status}, not run')
+            raise errors.UpstreamRefused(
+                f'upstream answered {head.status}, then: {exc}'
+            ) from exc
+        raise errors.UpstreamRefused(
+            f'upstream answered {head.status}: request not run'
+        )
 
     def check_answer(self, head: interfaces.AnswerHead) -> None:
-        """Checks that the answer is the upstream's own work.
+        """Checks that a success is signed and not encoded.
 
         Raises:
-            UpstreamBroke: It is not, though the request may have run.
+            UpstreamBroke: The response lacks the signature header or has a
+                content encoding. The request may have run.
         """
         if head.status >= 300:
             return
         if interfaces.header(head.headers, self.signature_header) is None:
-            raise errors.UpstreamBroke('a success without a signature')
+            raise errors.UpstreamBroke('success without a signature header')
         if interfaces.header(head.headers, b'content-encoding') is not None:
-            raise errors.UpstreamBroke('an encoded body that nobody asked for')
+            raise errors.UpstreamBroke('content encoding was not requested')
 
     def check_stream_end(
         self, head: interfaces.AnswerHead, splitter: events.EventSplitter
@@ -317,19 +340,19 @@
         """Checks the end of a stream whose last event lacks its blank line.
 
         Raises:
-            UpstreamLost: It broke off. Only the close of its connection ends
-                this stream: within an event its caller would take what broke
-                off for complete.
-            AnswerContradicts: The event does not go on behind the last one.
+            UpstreamLost: The stream is ended only by the close of its
+                connection, which came within an event. The caller would take
+                the truncated stream for complete.
+            AnswerContradicts: The event does not follow the last one.
         """
         kind = interfaces.header(head.headers, b'content-type') or b''
         of_events = splitter.passed_events or kind.startswith(EVENT_STREAM)
         if of_events and not head.framed:
-            raise errors.UpstreamLost('closed within an event')
+            raise errors.UpstreamLost('connection closed within an event')
         splitter.check_partial_event()
 
     def first_byte_timeout(self, ticket: tickets.Ticket) -> float:
-        """Returns how long an upstream may take to begin its answer."""
+        """Returns the seconds that an upstream has to begin its response."""
         from_target = FIRST_BYTE_TARGET_MULTIPLE * ticket.rule.then.target
         from_deadline = FIRST_BYTE_TIME_FRACTION * ticket.seconds_left
         return max(min(from_target, from_deadline), MIN_FIRST_BYTE_SECONDS)
@@ -342,10 +365,10 @@
         answer: interfaces.CallerAnswer,
         waiting: silence_module.Waiting,
     ) -> None:
-        """Passes a stream on, event by event.
+        """Passes a stream on in complete events.
 
         Raises:
-            UpstreamBroke: It broke off.
+            UpstreamBroke: The stream broke off.
         """
         splitter = ticket.splitter
         while (data := await waiting.read(exchange.read)) is not None:
@@ -370,10 +393,10 @@
 
 
 def parse_retry_after(value: bytes | None) -> float:
-    """Returns the seconds that a header names, 0 if it names none.
+    """Returns the seconds of a Retry-After header, 0 if it has none.
 
-    A date, which the header may hold too, is taken for none: the clocks of
-    two VMs differ by more than what upstreams ask for.
+    Dates, which the header allows too, are ignored: the clocks of two VMs
+    differ by more than the times that upstreams ask for.
     """
     try:
         seconds = float(value or 0)
@@ -385,10 +408,10 @@
 async def read_body(
     exchange: interfaces.Exchange, waiting: silence_module.Waiting
 ) -> bytes:
-    """Returns the whole body of an answer.
+    """Returns the complete body of a response.
 
     Raises:
-        UpstreamBroke: The answer broke off.
+        UpstreamBroke: The response broke off.
     """
     parts = []
     while (data := await waiting.read(exchange.read)) is not None:
--- a/lavenderbend/coordination/forwarding/crashes.py
+++ b/lavenderbend/coordination/forwarding/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash each upstream that runs them."""
+"""Detects requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -21,17 +21,18 @@
     from lavenderbend.coordination.forwarding import tickets
     from lavenderbend.state import forwarding
 
-# one death may be any request's that was there; at a second one on another
-# upstream a request that never succeeded between is taken for the cause
+# Any of the requests at an upstream may have caused its crash. A request that
+# was at a second crash of another upstream, and did not succeed in between, is
+# taken for the cause.
 CRASHES_TO_QUARANTINE = 2
-# a caller that sends such a request keeps on for so long at most
+# Callers retry a crashing request for at most this long.
 FACT_SECONDS = 120.0
-# a process that died refuses connections by then; one whose connection was
-# only reset accepts them
+# After this delay a crashed process refuses connections, while one whose
+# connection was only reset accepts them.
 PROBE_DELAY_SECONDS = 0.05
 MAX_PENDING_PROBES = 1000
 RETRY_AFTER_SECONDS = 30.0
-# kinds of facts that routers tell each other
+# Kinds of facts that routers exchange by gossip.
 DEATH = 'death'
 CLEARED = 'cleared'
 
@@ -48,7 +49,7 @@
 def request_fingerprint(
     request: interfaces.CallerRequest, customer: str
 ) -> int:
-    """Returns what a request has in common with its repetitions."""
+    """Returns a hash that is the same when a caller sends a request again."""
     return hashing.hash64(
         request.header('host') or '',
         request.method,
@@ -60,7 +61,7 @@
 
 @facts_module.KINDS.register(DEATH)
 class CrashFact(facts_module.Kind):
-    """A request that an upstream died of; the source is the upstream."""
+    """A request that was at an upstream's crash; the source is the upstream."""
 
     most_seconds = FACT_SECONDS
     cleared_by = CLEARED
@@ -68,7 +69,7 @@
 
 @facts_module.KINDS.register(CLEARED)
 class ClearedFact(facts_module.Kind):
-    """A request that ran to a good end."""
+    """A request that succeeded after a crash."""
 
     most_seconds = FACT_SECONDS
 
@@ -80,7 +81,7 @@
     Attributes:
         fingerprint: Fingerprint of the request.
         upstream: The upstream.
-        cleared: Whether the request has run to a good end since.
+        cleared: Whether the request has succeeded since.
     """
 
     fingerprint: int
@@ -89,16 +90,18 @@
 
 
 class CrashDetector:
-    """Finds requests that upstreams die of, and refuses them.
+    """Detects requests that crash upstreams, and refuses them.
 
-    A death is told to all routers: the caller sends the request again
-    through any of them. A success clears the request: what has run to a
-    good end does not crash upstreams, and many callers may send the same.
+    A crash is shared with all routers, because the caller may send the
+    request again through any of them. A success clears the request: it does
+    not crash upstreams, and many callers may send the same one.
 
     Attributes:
-        facts: What this router and others found.
-        pending: Lost connections of which it is not known yet whether their
-            upstreams died.
+        facts: Crashes and successes that this router and others found.
+        pending: Lost connections for which it is not known yet whether the
+            upstream crashed.
+        successes: Numbers for the facts of successes.
+        pending_sender: Passes lost connections to `run`, None before it runs.
         accepts_connections: Returns whether an upstream accepts connections.
     """
 
@@ -114,15 +117,16 @@
         self.pending_sender: trio.MemorySendChannel | None = None
 
     def crashed_upstreams(self, fingerprint: int) -> list[str]:
-        """Returns the upstreams that died of a request."""
+        """Returns the upstreams that crashed while they had a request."""
         crash_facts = self.facts.of(DEATH, fact_subject(fingerprint))
         return sorted(fact.source for fact in crash_facts)
 
     def check(self, ticket: tickets.Ticket) -> None:
-        """Refuses a request that upstreams died of.
+        """Refuses a request that crashes upstreams.
 
         Raises:
-            RequestQuarantined: It is one.
+            RequestQuarantined: At least CRASHES_TO_QUARANTINE upstreams
+                crashed while they had the request.
         """
         if not self.facts.has(DEATH):
             return
@@ -131,14 +135,14 @@
             return
         REFUSED_REQUESTS.inc({})
         error = errors.RequestQuarantined(
-            f'{len(crashed)} upstreams died of this request',
+            f'{len(crashed)} upstreams crashed on this request',
             RETRY_AFTER_SECONDS,
         )
         error.status = errors.NoUpstream.status
         raise error
 
     def fingerprint(self, ticket: tickets.Ticket) -> int:
-        """Returns the fingerprint of a ticket's request, made once."""
+        """Returns the fingerprint of a ticket's request, computed once."""
         if ticket.fingerprint is None:
             ticket.fingerprint = request_fingerprint(
                 ticket.request, ticket.customer
@@ -146,30 +150,31 @@
         return ticket.fingerprint
 
     def note_success(self, ticket: tickets.Ticket) -> None:
-        """Clears a request that ran to a good end."""
+        """Clears a request that succeeded."""
         if not self.facts.has(DEATH) and not self.pending:
             return
         fingerprint = self.fingerprint(ticket)
         self.clear_pending(fingerprint)
         if self.crashed_upstreams(fingerprint):
-            # a fact of its own: a death between two successes is cleared by
-            # the second one
+            # Each success is a new fact, so that the second of two successes
+            # clears a crash between them.
             source = f'{self.facts.origin} {next(self.successes)}'
             self.facts.add(
                 CLEARED, fact_subject(fingerprint), source, FACT_SECONDS
             )
 
     def clear_pending(self, fingerprint: int) -> None:
-        """Forgets lost connections of a request that has run since.
+        """Clears the pending lost connections of a request that succeeded.
 
-        Their deaths are noted after this success, and must not outlive it.
+        Otherwise their crashes, confirmed only after the success, would count
+        as later than it.
         """
         for loss in self.pending:
             if loss.fingerprint == fingerprint:
                 loss.cleared = True
 
     def apply_fact(self, fact: facts_module.Fact) -> None:
-        """Takes in what this or another router has found."""
+        """Applies a fact found by this or another router."""
         fingerprint = int(fact.subject, 16)
         if fact.kind == CLEARED:
             self.clear_pending(fingerprint)
@@ -186,7 +191,7 @@
     def note_lost(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
-        """Notes that a connection was lost while it had a request."""
+        """Records that a connection was lost while it had a request."""
         if self.pending_sender is None:
             return
         loss = LostConnection(self.fingerprint(ticket), upstream)
@@ -198,7 +203,7 @@
         self.pending.add(loss)
 
     async def run(self) -> None:
-        """Examines lost connections."""
+        """Checks the upstreams of lost connections until cancelled."""
         self.pending_sender, received = trio.open_memory_channel(
             MAX_PENDING_PROBES
         )
@@ -207,7 +212,7 @@
                 nursery.start_soon(self.examine, loss)
 
     async def examine(self, loss: LostConnection) -> None:
-        """Finds out whether an upstream died, or a connection was reset."""
+        """Finds out whether an upstream crashed or only reset a connection."""
         try:
             await trio.sleep(PROBE_DELAY_SECONDS)
             if await self.accepts_connections(loss.upstream):
@@ -227,5 +232,5 @@
 
 
 def fact_subject(fingerprint: int) -> str:
-    """Returns how a fingerprint is written."""
+    """Returns the subject under which facts name a fingerprint."""
     return f'{fingerprint:016x}'
--- a/lavenderbend/coordination/forwarding/decision_records.py
+++ b/lavenderbend/coordination/forwarding/decision_records.py
@@ -1,4 +1,4 @@
-"""What operators read back of a request that was forwarded."""
+"""Records of forwarded requests that operators can read."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
     from lavenderbend.coordination.forwarding import tickets
 
 ANSWERED = 'answered'
-# as callers are told: see the errors of the reference
+# Outcomes as reported to callers; see the errors in the reference.
 COMPLETE = 'complete'
 UNKNOWN = 'unknown'
 NOT_RUN = 'not-run'
 
 
 def caller_outcome(outcome: str, ticket: tickets.Ticket | None) -> str:
-    """Returns what the caller may conclude, in one word."""
+    """Returns the outcome that the caller may conclude."""
     if outcome == ANSWERED:
         return COMPLETE
     if ticket is not None and ticket.may_have_run:
@@ -44,14 +44,15 @@
     Args:
         request: As the caller sent it.
         request_id: Its id.
-        ticket: What was decided, None if it was refused at the entry.
-        version: The configuration that decided.
+        ticket: The request's ticket, None if the request was refused before
+            it got one.
+        version: Version of the configuration that was applied.
         outcome: `answered`, or the kind of the error.
-        detail: Text of that error.
+        detail: Message of that error.
     """
     names = {name.decode('latin-1') for name, _ in request.headers}
     headers = {name: request.header(name) or '' for name in names}
-    # the credential is the caller's secret
+    # The credential must not be stored.
     headers.pop('authorization', None)
     duration = trio.current_time() - request.arrived
     record = decisions.Decision(
--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave, by the store or by their own answers, told to all."""
+"""Shares with all routers which upstreams leave."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
 
 LEFT = 'left'
 LEAVING = 'leaving'
-# by then each router has a snapshot that shows it, or is cut off from all
+# After this time each router has a snapshot that shows the departure, unless it
+# is cut off from the store and from all routers.
 FACT_SECONDS = 30.0
 MAX_REVISION_DIGITS = 20
 LIVE = upstreams.VmState.LIVE
@@ -29,7 +30,7 @@
 
 @facts_module.KINDS.register(LEFT)
 class LeftFact(facts_module.Kind):
-    """An upstream that leaves; the source is the revision that shows it."""
+    """An upstream that leaves; the source is the store revision showing it."""
 
     most_seconds = FACT_SECONDS
     for_new = False
@@ -37,22 +38,23 @@
 
 @facts_module.KINDS.register(LEAVING)
 class LeavingFact(facts_module.Kind):
-    """An upstream whose answers say that it leaves."""
+    """An upstream whose responses announce that it leaves."""
 
     most_seconds = FACT_SECONDS
 
 
 class Departures:
-    """Tells other routers which upstreams leave, and heeds what they tell.
+    """Shares which upstreams leave, and applies what other routers share.
 
-    What an upstream says in the store comes with the configuration, in one
-    snapshot. Over a narrow link a snapshot of many routes takes longer than
-    an upstream that leaves goes on; what is told here fits a datagram.
+    The store's entry of an upstream comes with the configuration, in one
+    snapshot. Over a slow link a snapshot with many routes can take longer
+    than a leaving upstream keeps running. The facts sent here fit into a
+    datagram.
 
     Attributes:
         snapshots: The snapshots of this router.
-        directory: Learns what others tell.
-        facts: What is told.
+        directory: The upstreams to which departures are applied.
+        facts: Facts exchanged with other routers.
         previous: Upstreams of the latest snapshot.
     """
 
@@ -69,7 +71,7 @@
         snapshots.on_change.append(self.share_departures)
 
     def share_departures(self, snapshot: forwarding.Snapshot) -> None:
-        """Tells which upstreams a new snapshot shows to leave."""
+        """Shares the upstreams that leave according to a new snapshot."""
         for instance, upstream in self.previous.items():
             if upstream.vm.state is not LIVE:
                 continue
@@ -83,21 +85,21 @@
     def share_departure(
         self, upstream: forwarding.Upstream, revision: int
     ) -> None:
-        """Tells that an upstream leaves, unless another router has."""
+        """Shares that an upstream leaves, unless another router has."""
         shared = self.facts.of(LEFT, upstream.instance)
         if any(departure_revision(fact) > upstream.revision for fact in shared):
             return
         self.facts.add(LEFT, upstream.instance, str(revision), FACT_SECONDS)
 
     def note_announcement(self, instance: str) -> None:
-        """Notes that an upstream says in an answer that it leaves."""
+        """Shares that a response announced that its upstream leaves."""
         if instance in self.directory.leaving.announced:
             return
-        # one source for all routers that hear it: they tell the same fact
+        # All routers use the same source, so that they share one fact.
         self.facts.add(LEAVING, instance, LEAVING, FACT_SECONDS)
 
     def apply_announcement(self, fact: facts_module.Fact) -> None:
-        """Sends nothing more to an upstream that says it leaves."""
+        """Stops sending to an upstream that announced that it leaves."""
         if not self.directory.note_said(fact.subject):
             return
         logs.change(
@@ -108,7 +110,7 @@
         )
 
     def apply_departure(self, fact: facts_module.Fact) -> None:
-        """Sends nothing more to an upstream that another router saw leave."""
+        """Stops sending to an upstream that another router saw leave."""
         revision = departure_revision(fact)
         if not self.directory.note_left(fact.subject, revision):
             return
@@ -123,7 +125,7 @@
 
 
 def departure_revision(fact: facts_module.Fact) -> int:
-    """Returns the revision that shows a departure, -1 if none is named."""
+    """Returns the revision that shows a departure, -1 if the fact has none."""
     text = fact.source
     if len(text) > MAX_REVISION_DIGITS or not text.isdecimal():
         return -1
--- a/lavenderbend/coordination/forwarding/events.py
+++ b/lavenderbend/coordination/forwarding/events.py
@@ -1,4 +1,4 @@
-"""Streams of numbered events, cut where an event ends."""
+"""Splits a stream of numbered server-sent events at event boundaries."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 from lavenderbend import errors
 
-# the blank line behind an event, by the two line ends in use
+# The blank line that ends an event, for both line endings in use.
 EVENT_TERMINATORS = (b'\n\n', b'\r\n\r\n')
 ID_FIELD = b'id:'
 DATA_FIELD = b'data:'
-# an event that never ends would be held whole
+# Bounds the memory for an event that never ends.
 MAX_EVENT_BYTES = 1024 * 1024
-# numbers of 64 bits; what is longer is no number
+# Event numbers have 64 bits; longer digit strings are not numbers.
 MAX_NUMBER_DIGITS = 18
 
 
 @attrs.frozen
 class Position:
-    """How far a stream has come.
+    """A position in a stream.
 
     Attributes:
-        number: Number of its last event, None before the first.
-        numbered: Whether all its events had numbers. Without them no
-            upstream can be told where to go on.
+        number: Number of the last event, None before the first.
+        numbered: Whether all events so far had numbers. Without them no
+            upstream can be told where to resume.
     """
 
     number: int | None = None
@@ -31,23 +31,24 @@
 
 
 class EventSplitter:
-    """Passes whole events on and keeps the bytes of an unfinished one.
+    """Returns complete events and buffers the bytes of a partial one.
 
-    An upstream may break off within an event. What a caller has is then a
-    whole number of events, so that another upstream can go on behind the
-    last one. The bytes are not changed.
+    An upstream may break off within an event. The caller has then received a
+    whole number of events, and another upstream can resume after the last
+    one. The bytes are not changed.
 
-    A resume goes on behind `written`, never behind `read`: what was read may
-    end there, if its write is cut. Were it counted as passed on before, the
-    caller would get a complete answer with an event missing.
+    A stream is resumed after `written_position`, never after `read_position`:
+    the write of events that were read may be cancelled. Counting them as
+    passed on would give the caller a complete response that lacks an event.
 
     Attributes:
-        read_position: The position behind the last whole event that was read.
-        written_position: The one behind what was written to the caller.
-        passed_events: Whether the caller has events of this answer.
-        resume_unconfirmed: Whether an upstream that is to go on has not shown by a
-            number that it does.
-        partial_event: Bytes of an event that is not complete.
+        read_position: The position after the last complete event read.
+        written_position: The position after the last event written to the
+            caller.
+        passed_events: Whether the caller has events of this response.
+        resume_unconfirmed: Whether no event number has shown yet that the
+            upstream resumes the stream and does not restart it.
+        partial_event: Bytes of the event that is not complete yet.
     """
 
     def __init__(self, last: int | None = None) -> None:
@@ -58,23 +59,24 @@
         self.partial_event = b''
 
     def mark_written(self) -> None:
-        """Notes that the caller has all events that were read."""
+        """Records that all events read were written to the caller."""
         self.passed_events = (
             self.passed_events or self.read_position != self.written_position
         )
         self.written_position = self.read_position
 
     def restart(self) -> None:
-        """Prepares for a stream that goes on behind what was written."""
+        """Prepares for a stream that resumes after the written position."""
         self.read_position = self.written_position
         self.resume_unconfirmed = self.passed_events
         self.partial_event = b''
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the events that are whole with these bytes.
+        """Returns the events that these bytes complete.
 
         Raises:
-            AnswerContradicts: An event is missing, comes twice, or may do.
+            AnswerContradicts: An event is missing or comes twice, or a lack
+                of numbers leaves that open.
             UpstreamBroke: An event is too large.
         """
         buffer = self.partial_event + data
@@ -82,7 +84,9 @@
         if not end:
             self.partial_event = buffer
             if len(buffer) > MAX_EVENT_BYTES:
-                raise errors.UpstreamBroke('an event is too large')
+                raise errors.UpstreamBroke(
+                    f'event larger than {MAX_EVENT_BYTES} bytes'
+                )
             return b''
         self.partial_event = buffer[end:]
         complete = buffer[:end]
@@ -93,18 +97,19 @@
         """Checks a last event that lacks its blank line.
 
         Raises:
-            AnswerContradicts: As `feed` does.
+            AnswerContradicts: As in `feed`.
         """
         self.check_sequence(self.partial_event + EVENT_TERMINATORS[0])
 
     def check_sequence(self, complete: bytes) -> None:
-        """Checks that events go on behind the last one.
+        """Checks that complete events follow the last one read.
 
         Raises:
             AnswerContradicts: They do not.
         """
-        # what contradicts is not passed on: a resume must not skip the events
-        # before it in the same bytes
+        # The position changes only if all events are in order. Otherwise none
+        # of these bytes is passed on, and a resume must not skip the events
+        # that precede the wrong one.
         position = self.read_position
         resume_unconfirmed = self.resume_unconfirmed
         has_number = has_data = False
@@ -117,7 +122,7 @@
             elif line.startswith(DATA_FIELD):
                 has_data = True
             elif not line.strip():
-                # a comment has no data: it may come twice
+                # A comment has no data and may be repeated without harm.
                 if has_data and not has_number:
                     position = position_after_unnumbered(
                         position, resume_unconfirmed
@@ -128,7 +133,7 @@
 
 
 def check_follows(number: int, position: Position) -> None:
-    """Checks that an event follows on a position.
+    """Checks that an event number follows a position.
 
     Raises:
         AnswerContradicts: It does not.
@@ -142,21 +147,21 @@
 def position_after_unnumbered(
     position: Position, resume_unconfirmed: bool
 ) -> Position:
-    """Returns the position behind an event that has no number.
+    """Returns the position after an event without a number.
 
     Raises:
-        AnswerContradicts: Nothing shows that the upstream goes on where it
-            was asked to, and does not begin anew.
+        AnswerContradicts: Nothing shows yet that the upstream resumes the
+            stream where it was asked to, and does not restart it.
     """
     if resume_unconfirmed:
         raise errors.AnswerContradicts(
-            f'no number where event {position.number} was to be followed'
+            f'event without a number after event {position.number} in a resume'
         )
     return Position(position.number, numbered=False)
 
 
 def end_of_events(data: bytes) -> int:
-    """Returns where the last whole event ends, 0 if none does."""
+    """Returns the offset after the last complete event, 0 without one."""
     ends = (
         data.rfind(end) + len(end) for end in EVENT_TERMINATORS if end in data
     )
@@ -164,14 +169,14 @@
 
 
 def event_number(line: bytes) -> int | None:
-    """Returns the number that a line gives its event, None if it is none."""
+    """Returns the event number of an id line, None for other lines."""
     if not line.startswith(ID_FIELD):
         return None
     return parse_event_number(line[len(ID_FIELD) :].strip())
 
 
 def parse_event_number(text: bytes) -> int | None:
-    """Returns the number of an event, None for what is none."""
+    """Returns an event number, None for text that is not one."""
     if not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
         return None
     return int(text)
--- a/lavenderbend/coordination/forwarding/failed_attempts.py
+++ b/lavenderbend/coordination/forwarding/failed_attempts.py
@@ -1,4 +1,4 @@
-"""Lines and counts of attempts that gave the caller no whole answer."""
+"""Log lines and metrics of attempts without a complete response."""
 
 from __future__ import annotations
 
@@ -35,10 +35,18 @@
     waiting: silence.Waiting,
     cause: BaseException,
 ) -> None:
-    """Writes how an attempt ended, and how far it had come."""
+    """Logs and counts a failed attempt: its cause and its progress.
+
+    Args:
+        ticket: The request.
+        upstream: The upstream that it was sent to.
+        answer: The response to the caller.
+        waiting: The wait for the upstream.
+        cause: The error or cancellation that ended the attempt.
+    """
     splitter = ticket.splitter
     by = ended_by(answer, cause)
-    # a nursery on the way may have wrapped a cancellation
+    # A nursery may have wrapped the cancellation in an exception group.
     cancelled = not isinstance(cause, Exception)
     kind = CANCELLED if cancelled else type(cause).__name__
     unwritten = (
@@ -79,7 +87,7 @@
 def waited_for(
     answer: interfaces.CallerAnswer, waiting: silence.Waiting
 ) -> str:
-    """Returns who was waited for, empty if it was nobody."""
+    """Returns which side the attempt was waiting for, empty for neither."""
     if answer.write_pending:
         return 'caller'
     return 'upstream' if waiting.reading else ''
@@ -88,7 +96,7 @@
 def cancel_cause(
     ticket: tickets.Ticket, answer: interfaces.CallerAnswer
 ) -> str:
-    """Returns why an attempt was cancelled, in words."""
+    """Returns the log text for the cause of a cancellation."""
     if answer.disconnected:
         return CALLER_LEFT
     return DEADLINE if ticket.seconds_left <= 0 else STOPPED
--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""A request's way from its caller to upstreams and back."""
+"""Forwards requests from callers to upstreams, with retries."""
 
 from __future__ import annotations
 
@@ -25,13 +25,15 @@
     from lavenderbend.coordination.forwarding import tickets
     from lavenderbend.state import forwarding
 
-# upstreams that no connection is to be had to cost half a second each; a caller
-# is told while it has time to go elsewhere
+# A connection that times out costs half a second. After this many unreachable
+# upstreams and seconds the caller is refused, while it has time to try another
+# router.
 MAX_SLOW_UNREACHABLE = 4
 SLOW_CONNECT_SECONDS = 2.0
-# those of a VM that lives refuse at once
+# A running VM without the process refuses connections at once, so that more
+# upstreams can be tried.
 MAX_UNREACHABLE = 16
-# other processes at the addresses of upstreams that are gone
+# Attempts answered by another process at the address of a former upstream.
 MAX_REPLACED = 4
 # for which a repeat may be reserved before it is sent: two connects that time out
 RETRY_HOLD_SECONDS = 1.0
@@ -52,15 +54,15 @@
     """Forwards requests.
 
     Attributes:
-        resolver: Finds rule and customer.
-        chooser: Knows the upstreams.
-        placing: Finds upstreams.
-        attempts: Sends to one upstream.
-        budget: Allows repeats.
-        decisions: Keeps what was decided for operators to read back, None
-            where no operators' interface is served.
-        tracer: Makes spans, None where no collector is named.
-        fleet_size: Returns how many routers are known, for the lines.
+        resolver: Finds the rule and the customer of a request.
+        chooser: Ranks the upstreams of a service.
+        placing: Chooses the upstream of each attempt.
+        attempts: Sends a request to one upstream.
+        budget: Limits retries.
+        decisions: Records of decisions that operators can read, None where
+            no operators' interface is served.
+        tracer: Makes spans, None where no collector is configured.
+        fleet_size: Returns how many routers are known, for log lines.
     """
 
     def __init__(
@@ -84,10 +86,10 @@
         request: interfaces.CallerRequest,
         answer: interfaces.CallerAnswer,
     ) -> None:
-        """Answers a request.
+        """Forwards a request and sends the response to its caller.
 
         Raises:
-            RequestError: It has no answer from an upstream.
+            RequestError: The request has no response from an upstream.
         """
         ticket = None
         span = None
@@ -112,7 +114,7 @@
                 self.tracer.end_request(span, ticket, error)
 
     def log_admitted(self, ticket: tickets.Ticket) -> None:
-        """Writes what the entry decided, if the request has such lines."""
+        """Logs the rule and customer of a request, if it is sampled."""
         ticket.logged = logs.sample_request()
         if not ticket.logged:
             return
@@ -137,7 +139,7 @@
         outcome: str,
         detail: str,
     ) -> None:
-        """Counts a request and writes its line."""
+        """Counts a request that has ended, logs it and keeps its record."""
         if answer.disconnected:
             outcome = errors.CallerGone.kind
         seconds = trio.current_time() - request.arrived
@@ -190,10 +192,10 @@
     async def run_until_deadline(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
-        """Has a request answered until its deadline.
+        """Runs the attempts of a request until its deadline.
 
         Raises:
-            RequestError: It was not.
+            RequestError: The request was not answered.
         """
         with trio.CancelScope(deadline=ticket.deadline) as scope:
             await self.run_attempts(ticket, answer)
@@ -210,6 +212,7 @@
 
         Raises:
             RequestError: None of them answered.
+            RequestQuarantined: The request crashes upstreams.
         """
         self.attempts.crashes.check(ticket)
         self.budget.note_request(ticket.service)
@@ -226,7 +229,7 @@
         upstream: forwarding.Upstream,
         answer: interfaces.CallerAnswer,
     ) -> bool:
-        """Sends a request to an upstream; returns whether it has answered."""
+        """Sends a request to an upstream; returns whether it succeeded."""
         record = ticket.attempts[-1]
         if ticket.span is not None:
             ticket.attempt_span = self.tracer.begin_attempt(ticket, upstream)
@@ -252,7 +255,7 @@
     async def next_upstream(
         self, ticket: tickets.Ticket
     ) -> forwarding.Upstream | None:
-        """Returns the upstream that comes next, None if there is none."""
+        """Returns the upstream of the next attempt, None if there is none."""
         choice = await self.placing.choose(ticket)
         ticket.retry_after_seconds = choice.wanted_in
         if choice.upstream is None:
@@ -270,17 +273,18 @@
     def retry_check(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> Callable[[], bool]:
-        """Returns what tells whether an attempt may be followed by another.
+        """Returns a check whether an attempt may be ended for a retry.
 
-        What it allows is taken at once: of several requests that give their
-        upstreams up in the same moment, each must find its repeat.
+        The check reserves the retry that it allows: several requests may end
+        their attempts at the same moment, and each needs a retry of its own.
         """
 
         def check() -> bool:
             if not ticket.rule.then.repeatable:
                 return False
             if answer.started and not self.may_resume(ticket):
-                # nobody could go on: what is silent may still come
+                # No upstream could resume the stream, and the silent one may
+                # still continue it.
                 return False
             if not self.chooser.any_wants(ticket.service):
                 return False
@@ -294,7 +298,7 @@
         return check
 
     def reserve_retry(self, ticket: tickets.Ticket) -> bool:
-        """Takes a repeat for a request, if it may have one."""
+        """Reserves a retry for a request; returns whether it may have one."""
         if ticket.attempts_left <= 0:
             return False
         if not self.budget.try_take(ticket.service):
@@ -304,10 +308,11 @@
         return True
 
     def release_expired_retry(self, ticket: tickets.Ticket) -> None:
-        """Forgets a repeat that was taken and not sent for a while.
+        """Drops a reserved retry that was not sent within RETRY_HOLD_SECONDS.
 
-        Its wait ended by itself. Sent when its upstream fails much later, it
-        would come on top of all that the fleet may repeat by then.
+        The attempt that it was reserved for went on by itself. Sent much
+        later, when that upstream fails, the retry would exceed the retry
+        budget of the fleet by then.
         """
         reserved = ticket.sent_to and ticket.may_send
         if (
@@ -320,11 +325,12 @@
     def may_continue(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> bool:
-        """Returns whether another upstream is tried."""
+        """Returns whether another upstream may be tried."""
         if answer.disconnected:
             return False
         if answer.write_pending:
-            # the caller may have a part of it: nothing can follow
+            # The caller may have received a part of the write, after which
+            # the stream cannot be resumed.
             return False
         if ticket.may_have_run and not ticket.rule.then.repeatable:
             return False
@@ -336,7 +342,7 @@
         return ticket.may_send or self.reserve_retry(ticket)
 
     def connect_attempts_exhausted(self, ticket: tickets.Ticket) -> bool:
-        """Returns whether enough upstreams were found gone."""
+        """Returns whether too many upstreams were unreachable or replaced."""
         if len(ticket.replaced) >= MAX_REPLACED:
             return True
         tried = len(ticket.unreachable)
@@ -346,7 +352,7 @@
         return waited >= SLOW_CONNECT_SECONDS or tried >= MAX_UNREACHABLE
 
     def may_resume(self, ticket: tickets.Ticket) -> bool:
-        """Returns whether another upstream can go on with a stream."""
+        """Returns whether another upstream can resume the stream."""
         return (
             ticket.rule.then.resumable
             and ticket.splitter.written_position.numbered
@@ -355,10 +361,11 @@
     async def finish_unanswered(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
-        """Answers a request that no further upstream is tried for.
+        """Ends a request for which no further upstream is tried.
 
-        What earlier attempts left decides: a stream that has begun takes no
-        second answer, and what may have run is not called not run.
+        An error response held from an earlier attempt is passed on, unless a
+        stream has begun, which cannot take a second response. A request that
+        may have run is not reported as not run.
 
         Raises:
             RequestError: No upstream answered.
@@ -370,12 +377,12 @@
             )
             return
         if ticket.may_have_run:
-            raise errors.OutcomeUnknown('the upstream broke off')
+            raise errors.OutcomeUnknown('the upstream broke off its response')
         cause = f'no upstream of {ticket.service!r} is known'
         if ticket.attempts:
-            cause = 'no upstream took the request'
+            cause = 'no upstream accepted the request'
         if ticket.retry_after_seconds:
-            cause = f'no upstream of {ticket.service!r} wants requests now'
+            cause = f'all upstreams of {ticket.service!r} asked for a pause'
         seconds = request_resolver.retry_after_seconds(ticket.seconds_left)
         raise errors.NoUpstream(cause, max(seconds, ticket.retry_after_seconds))
 
@@ -383,9 +390,9 @@
 def log_request_sent(
     ticket: tickets.Ticket, record: decisions_module.Attempt
 ) -> None:
-    """Writes where a request is sent now, and why there.
+    """Logs where a request is sent, and why.
 
-    A repeat always has its line: it spends what the fleet may repeat.
+    Retries are always logged, because each uses up the retry budget.
     """
     number = len(ticket.attempts)
     if not ticket.logged and number == 1:
@@ -403,14 +410,14 @@
 
 
 def failed_result(record: decisions_module.Attempt) -> str:
-    """Returns how an attempt failed, empty if it did not."""
+    """Returns the error of an attempt, empty if it succeeded."""
     return '' if record.result == decision_records.COMPLETE else record.result
 
 
 def passed_over_summaries(
     placed: Iterable[decisions_module.Attempt],
 ) -> list[str]:
-    """Returns which upstreams were not taken, and why, for the log."""
+    """Returns the upstreams that were passed over and why, for the log."""
     return [
         f'{candidate.upstream} {candidate.reason}'
         for attempt in placed
--- a/lavenderbend/coordination/forwarding/interfaces.py
+++ b/lavenderbend/coordination/forwarding/interfaces.py
@@ -1,4 +1,4 @@
-"""What forwarding needs from callers, upstreams and the platform."""
+"""Interfaces of forwarding to callers, upstreams, peers and the store."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 @attrs.frozen
 class CallerRequest:
-    """One request, read whole.
+    """One request, read completely.
 
     Attributes:
         method: HTTP method.
-        target: Path and query, as they came.
-        headers: Names in lower case, in their order.
-        body: The whole body.
-        arrived: Router clock at its first byte.
+        target: Path and query, unchanged.
+        headers: Names in lower case, in the order received.
+        body: The complete body.
+        arrived: Router clock at the request's first byte.
     """
 
     method: bytes
@@ -49,14 +49,16 @@
 
 
 class CallerAnswer(abc.ABC):
-    """The answer to one caller.
+    """The response to one caller.
 
     Attributes:
-        started: Whether the caller has been sent a part of it.
-        finished: Whether the caller has all of it.
-        write_pending: Whether a write has begun and not ended. If it was cut, how
-            much of it the caller has is not known, and nothing may follow.
-        disconnected: Whether the caller closed its connection before that.
+        started: Whether a part of the response was sent.
+        finished: Whether the complete response was sent.
+        write_pending: Whether a write has begun and not ended. If it was
+            cancelled, it is not known how much of it the caller has, and
+            nothing may follow.
+        disconnected: Whether the caller closed its connection before the
+            response was finished.
     """
 
     started = False
@@ -68,32 +70,32 @@
     async def send_whole(
         self, status: int, headers: Headers, body: bytes
     ) -> None:
-        """Sends an answer of known length."""
+        """Sends a complete response of known length."""
 
     @abc.abstractmethod
     async def start(self, status: int, headers: Headers) -> None:
-        """Sends the head of a streamed answer."""
+        """Sends the head of a streamed response."""
 
     @abc.abstractmethod
     async def send(self, data: bytes) -> None:
-        """Sends a part of a streamed answer."""
+        """Sends a part of a streamed response."""
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """Ends a streamed answer as complete."""
+        """Ends a streamed response as complete."""
 
 
 @attrs.frozen
 class UpstreamRequest:
-    """What is sent to an upstream.
+    """A request to an upstream.
 
     Attributes:
-        id: The id that the answer must carry.
-        id_header: The header that carries it, in lower case.
+        id: The request id, which the response must repeat.
+        id_header: The header with the request id, in lower case.
         method: HTTP method.
         target: Path and query.
         headers: All headers.
-        body: The whole body.
+        body: The complete body.
     """
 
     id: bytes
@@ -106,13 +108,14 @@
 
 @attrs.frozen
 class AnswerHead:
-    """Status and headers of an upstream's answer.
+    """Status and headers of an upstream's response.
 
     Attributes:
         status: HTTP status.
-        headers: Without those that concern only one connection.
-        framed: Whether the body's own framing says where it ends. Else it
-            ends with the connection, and one that broke off looks the same.
+        headers: The end-to-end headers.
+        framed: Whether the framing of the body shows where it ends. Otherwise
+            the body ends with the connection, and a truncated one looks the
+            same as a complete one.
     """
 
     status: int
@@ -125,20 +128,20 @@
 
     @abc.abstractmethod
     async def send(self, request: UpstreamRequest) -> AnswerHead:
-        """Sends the request and returns the head of its answer.
+        """Sends the request and returns the head of the response.
 
         Raises:
-            UpstreamBroke: It may have run.
+            UpstreamBroke: No response came; the request may have run.
         """
 
     @abc.abstractmethod
     async def read(self) -> bytes | None:
         """Returns the next part of the body, None after the last.
 
-        A call that is cancelled loses nothing of the body.
+        Cancelling the call loses no part of the body.
 
         Raises:
-            UpstreamBroke: The answer broke off.
+            UpstreamBroke: The response broke off.
         """
 
     @abc.abstractmethod
@@ -160,16 +163,16 @@
         """Returns a connection that no other request uses.
 
         Raises:
-            UpstreamUnreachable: There is none; nothing was sent.
+            UpstreamUnreachable: The upstream accepts none; nothing was sent.
         """
 
 
 class SnapshotSource(abc.ABC):
-    """The platform's store, read for configuration and upstreams."""
+    """Reads configuration and upstreams from the platform's store."""
 
     @abc.abstractmethod
     async def read(self) -> forwarding.RawSnapshot:
-        """Reads the whole store; what it returns is not older than the call.
+        """Reads the whole store; the result is not older than the call.
 
         Raises:
             KeyValueError: The store did not answer.
@@ -177,7 +180,7 @@
 
     @abc.abstractmethod
     async def newest_revision(self) -> int:
-        """Returns the store's revision; it is not older than the call.
+        """Returns the store's revision, which is not older than the call.
 
         Raises:
             KeyValueError: The store did not answer.
@@ -185,9 +188,9 @@
 
     @abc.abstractmethod
     async def changes_since(self, revision: int) -> forwarding.Changes | None:
-        """Returns changes after a revision, None if they are forgotten.
+        """Returns changes after a revision, None if they were compacted.
 
-        Some may be missing: the store may be slow to tell of them.
+        Recent changes may be missing, as the store may report them late.
 
         Raises:
             KeyValueError: The store did not answer.
@@ -195,15 +198,15 @@
 
     @abc.abstractmethod
     def decode(self, raw: forwarding.RawSnapshot) -> forwarding.Snapshot:
-        """Returns what a read returned, decoded.
+        """Returns the decoded result of a read.
 
         Raises:
-            CodecError: It cannot be read; the field is named.
+            CodecError: It cannot be decoded; the message names the field.
         """
 
 
 class DatagramLink(abc.ABC):
-    """Messages to other routers that may be lost, and their snapshots.
+    """Sends unreliable messages to other routers, and fetches snapshots.
 
     Attributes:
         receiver: Called with each message that arrives.
@@ -213,7 +216,7 @@
 
     @abc.abstractmethod
     def send(self, host: str, message: peer.Message) -> None:
-        """Sends a message; it may be lost."""
+        """Sends a message, which may be lost."""
 
     @abc.abstractmethod
     async def fetch(
@@ -222,10 +225,10 @@
         """Returns the snapshot of another router.
 
         Args:
-            host: Where that router is.
-            known: What is known already and need not be sent.
+            host: Host of that router.
+            known: A snapshot whose content need not be sent again.
 
         Raises:
             PeerError: It did not answer in time.
-            CodecError: What it answered is none.
+            CodecError: The response is not a snapshot.
         """
--- a/lavenderbend/coordination/forwarding/leaving.py
+++ b/lavenderbend/coordination/forwarding/leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that are known to leave before the own snapshot shows it."""
+"""Upstreams known to be leaving before this router's snapshot shows it."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
     from lavenderbend.state import forwarding
 
 LIVE = upstreams.VmState.LIVE
-# an entry that lapsed may be back, and say less than the upstream's answers did
+# How long an announcement is kept after the upstream was last seen: an expired
+# entry of the store may return, and not show that the upstream leaves.
 ANNOUNCED_SECONDS = 60.0
 
 
 class LeavingUpstreams:
-    """Knows who leaves by what others saw in the store, and by answers.
+    """Upstreams that leave, by other routers' snapshots or by responses.
 
     Attributes:
-        left_revisions: Upstreams that other routers saw leave, and the revision of the
-            store that shows it. What an entry says later counts.
-        announced: Upstreams whose answers say that they leave, and the router
-            clock at which they were last known to be there. No entry unsays
-            it: one that was written before may come into the store later.
+        left_revisions: By upstream, the store revision at which other routers
+            saw it leave. A later entry of the upstream overrides it.
+        announced: By upstream whose responses announced that it leaves, the
+            router clock at which it was last known to exist. No store entry
+            overrides it: one written before may reach the store later.
     """
 
     def __init__(self) -> None:
@@ -34,7 +35,7 @@
         self.announced: dict[str, float] = {}
 
     def is_staying(self, upstream: forwarding.Upstream) -> bool:
-        """Returns whether nothing is known of the upstream's leaving."""
+        """Returns whether the upstream is not known to be leaving."""
         if upstream.vm.state is not LIVE or upstream.instance in self.announced:
             return False
         return (
@@ -42,23 +43,23 @@
         )
 
     def note_left(self, instance: str, revision: int) -> None:
-        """Notes that a revision of the store shows an upstream to leave."""
+        """Records that a store revision shows that an upstream leaves."""
         self.left_revisions[instance] = max(
             revision, self.left_revisions.get(instance, -1)
         )
 
     def note_announced(self, instance: str) -> None:
-        """Notes that an upstream says in its answers that it leaves."""
+        """Records that a response announced that its upstream leaves."""
         self.announced[instance] = trio.current_time()
 
     def forget(
         self, snapshot: forwarding.Snapshot, lapsed: Collection[str]
     ) -> None:
-        """Forgets what a new snapshot shows by itself, and who is long gone.
+        """Removes what a new snapshot shows itself, and old announcements.
 
         Args:
             snapshot: The snapshot.
-            lapsed: Upstreams that it lacks and that may still be there.
+            lapsed: Upstreams that it lacks and that may still exist.
         """
         self.left_revisions = {
             instance: revision
--- a/lavenderbend/coordination/forwarding/outgoing.py
+++ b/lavenderbend/coordination/forwarding/outgoing.py
@@ -1,4 +1,4 @@
-"""What is sent to an upstream in place of what a caller sent."""
+"""Builds the requests to upstreams from the requests of callers."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class OutgoingRequests:
-    """Makes requests to upstreams.
+    """Builds requests to upstreams.
 
-    Headers that only the router may set are dropped from what callers sent:
-    a caller could else take another customer's name, a higher rank, or
-    memory that is held for others.
+    Headers that only the router may set are dropped from the caller's
+    request. Otherwise a caller could claim another customer's name, a higher
+    rank, or memory that is reserved for others.
 
     Attributes:
-        cached: Knows where prompts are cached.
+        cached: Finds upstreams that have a prompt cached.
         headers: Names of the headers.
         dropped_headers: Headers of callers that are not passed on.
     """
@@ -55,7 +55,7 @@
     def build(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> interfaces.UpstreamRequest:
-        """Returns what is sent to the upstream."""
+        """Returns the request to an upstream."""
         request = ticket.request
         headers = [
             header
@@ -94,10 +94,11 @@
     def note_prompt_read(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> None:
-        """Notes that an upstream has read the prompt, by its own answer.
+        """Records that an upstream has processed and cached the prompt.
 
-        One that refused the request, or broke off before, has not: the next
-        upstream would ask it for a copy, and read the whole prompt anew.
+        This is called only once its response shows so. An upstream that
+        refused the request or broke off before has not cached the prompt: the
+        next one would ask it for a copy in vain and process the whole prompt.
         """
         if ticket.prompt.parts and self.headers.copy_from:
             self.cached.note_sent(
@@ -110,7 +111,10 @@
     def copy_source(
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> bytes | None:
-        """Returns the address from which cached prompt parts are copied."""
+        """Returns the address of an upstream to copy the cached prompt from.
+
+        None if there is no such upstream.
+        """
         if not ticket.prompt.parts or not self.headers.copy_from:
             return None
         source = self.cached.source(
@@ -131,7 +135,7 @@
 def with_trace_headers(
     headers: list[tuple[bytes, bytes]], span: spans.Hop
 ) -> list[tuple[bytes, bytes]]:
-    """Returns headers that name a span as the parent of the next hop."""
+    """Returns the headers with a span as the parent of the upstream's."""
     own = {
         name.encode(): value.encode() for name, value in span.headers.items()
     }
--- a/lavenderbend/coordination/forwarding/request_resolver.py
+++ b/lavenderbend/coordination/forwarding/request_resolver.py
@@ -1,4 +1,4 @@
-"""From a caller's request to what may be done with it."""
+"""Resolves a caller's request to its rule, customer, pool and deadline."""
 
 from __future__ import annotations
 
@@ -25,9 +25,10 @@
 SCHEME = 'bearer '
 LAST_EVENT_ID = 'last-event-id'
 MAX_DEADLINE_MILLISECONDS = 24 * 3600 * 1000
-# a router that has just started or woken knows better after one read
+# A router that has just started, or was suspended, is up to date after one
+# read of the store; requests wait this long for it.
 FRESH_WAIT_SECONDS = 0.3
-# callers come back at most after a third of the time that they have left
+# Callers are asked to retry within a third of the time that they have left.
 RETRY_AFTER_FRACTION = 0.3
 MIN_RETRY_AFTER_SECONDS = 0.05
 MAX_RETRY_AFTER_SECONDS = 1.0
@@ -35,7 +36,7 @@
 
 
 def retry_after_seconds(left: float) -> float:
-    """Returns when a caller should ask again, by the time it has left."""
+    """Returns the Retry-After for a caller with `left` seconds left."""
     seconds = left * RETRY_AFTER_FRACTION
     return min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
 
@@ -44,9 +45,13 @@
     """Finds the rule and the customer of each request.
 
     Attributes:
-        compiled: The rules of the version in force.
-        customers: Customers by credential, of that version.
-        version: That version.
+        snapshots: The snapshots of this router.
+        headers: Names of the headers.
+        apply_seconds: Age of the configuration up to which an unknown route
+            or credential is refused without a new read.
+        compiled: The compiled rules of the version in force.
+        customers: Customers of that version by credential.
+        version: The configuration version in force.
         hits: How often each rule was the first match, by name.
         unmatched: How many requests no rule matched.
     """
@@ -70,13 +75,13 @@
         """Returns the ticket of a request.
 
         Raises:
-            RequestError: It is refused.
+            RequestError: The request is refused.
         """
         try:
             return await self.resolve(request)
         except (errors.NoRuleMatched, errors.NotAuthenticated):
-            # a router that was cut off or asleep may lack a route or a
-            # credential: its caller must not be told that there is none
+            # A router that was cut off or suspended may lack a new route or
+            # credential. It must not tell callers that there is none.
             if self.snapshots.age < self.apply_seconds:
                 raise
             await self.require_fresh(self.apply_seconds, request)
@@ -85,10 +90,10 @@
     async def resolve(
         self, request: interfaces.CallerRequest
     ) -> tickets.Ticket:
-        """Returns the ticket by the version in force.
+        """Returns the ticket by the configuration in force.
 
         Raises:
-            RequestError: It is refused.
+            RequestError: The request is refused.
         """
         table = self.snapshots.table
         if table is None:
@@ -110,7 +115,7 @@
         return self.make_ticket(request, rule, customer)
 
     def compile(self, table: forwarding.ForwardingTable) -> None:
-        """Prepares the rules and credentials of a version, once."""
+        """Compiles the rules and credentials of a version, once."""
         if table.version == self.version:
             return
         compiled = rules_module.CompiledRules(table.rules, self.compiled)
@@ -119,8 +124,8 @@
             for customer in table.customers
             for credential in customer.credentials
         }
-        # all or nothing: a fault on the way must not leave credentials of the
-        # version before under the number of this one
+        # Assigned together at the end: an error above must not leave
+        # credentials of the previous version under the new version number.
         self.compiled = compiled
         self.customers = customers
         self.version = table.version
@@ -128,7 +133,7 @@
     def match_facts(
         self, request: interfaces.CallerRequest
     ) -> rules_module.Facts:
-        """Returns what rules look at."""
+        """Returns the properties of a request that rules match."""
         host = (request.header('host') or '').lower()
         return rules_module.Facts(
             customer='',
@@ -143,7 +148,7 @@
         """Returns the customer of a request's credential.
 
         Raises:
-            ConfigurationStale: The credential may have been taken away.
+            ConfigurationStale: The credential may have been revoked.
             NotAuthenticated: There is no such credential.
         """
         if not self.snapshots.may_serve_credentials():
@@ -156,7 +161,7 @@
     def find_customer(
         self, request: interfaces.CallerRequest
     ) -> forwarding.ForwardCustomer:
-        """Returns the customer by the version in force.
+        """Returns the customer by the configuration in force.
 
         Raises:
             NotAuthenticated: There is no such credential.
@@ -174,10 +179,14 @@
     async def require_fresh(
         self, seconds: float, request: interfaces.CallerRequest
     ) -> None:
-        """Waits a moment for a fresh snapshot.
+        """Waits up to FRESH_WAIT_SECONDS for a recent snapshot.
+
+        Args:
+            seconds: Largest age that the configuration may have.
+            request: The request that needs it.
 
         Raises:
-            ConfigurationStale: None came.
+            ConfigurationStale: The configuration is still older.
         """
         if await self.snapshots.wait_fresh(seconds, FRESH_WAIT_SECONDS):
             return
@@ -191,7 +200,7 @@
     def caller_deadline(
         self, request: interfaces.CallerRequest, timeout: float
     ) -> float:
-        """Returns the router clock at which the caller gives up."""
+        """Returns the deadline of the caller, in the router's clock."""
         text = request.header(self.headers.deadline) or ''
         seconds = timeout
         if text.isdigit():
@@ -205,7 +214,7 @@
         rule: forwarding.ForwardRule,
         customer: forwarding.ForwardCustomer | None,
     ) -> tickets.Ticket:
-        """Returns the ticket of an admitted request."""
+        """Returns a new ticket for an admitted request."""
         then = rule.then
         request_id = request.header(self.headers.request_id) or ''
         rank = then.rank
@@ -230,7 +239,10 @@
 
 
 def pool_of(then: forwarding.Forward, request_id: str) -> str:
-    """Returns the pool of a request, by the weights of its rule."""
+    """Returns the pool of a request, chosen by the weights of its rule.
+
+    The choice depends only on the request id.
+    """
     if len(then.pools) == 1:
         return then.pools[0].pool
     total = sum(share.weight for share in then.pools)
--- a/lavenderbend/coordination/forwarding/request_spans.py
+++ b/lavenderbend/coordination/forwarding/request_spans.py
@@ -1,4 +1,4 @@
-"""Spans of forwarded requests, where the settings name a collector."""
+"""Trace spans of forwarded requests."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Tracer:
-    """Makes a span for a request, and one below it for each attempt.
+    """Makes a span for each request, and a child span for each attempt.
 
-    Routers whose settings name no collector have no tracer, and load no
+    Routers whose settings name no collector have no tracer and load no
     tracing library.
     """
 
     def begin_request(self, request: interfaces.CallerRequest) -> spans.Hop:
-        """Returns the span of a request, below its caller's own if any."""
+        """Returns the span of a request, a child of the caller's if any."""
         headers = {
             name: value
             for name in spans.TRACE_HEADERS
@@ -45,8 +45,9 @@
 
         Args:
             span: The span.
-            ticket: What was decided, None if it was refused at the entry.
-            outcome: Kind of the error, empty if it was answered.
+            ticket: The request's ticket, None if the request was refused
+                before it got one.
+            outcome: Kind of the error, empty if the request was answered.
         """
         if ticket is not None:
             span.note('request.id', ticket.id)
--- a/lavenderbend/coordination/forwarding/tickets.py
+++ b/lavenderbend/coordination/forwarding/tickets.py
@@ -1,4 +1,4 @@
-"""A request on its way through the router."""
+"""The state of one request while the router forwards it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class WholeAnswer:
-    """An answer of an upstream that is held complete.
+    """A complete response of an upstream that is held in memory.
 
     Attributes:
         head: Status and headers.
@@ -33,37 +33,37 @@
 
 @attrs.define
 class Ticket:
-    """One request, what was decided on it and what became of it.
+    """One request, the decisions about it and its attempts.
 
     Attributes:
         id: The request's id.
         request: The request.
         rule: The first rule that matched.
-        service: The service that it goes to.
+        service: The service that it is sent to.
         customer: The customer, empty on public rules.
-        rank: Urgency told to upstreams.
-        deadline: Router clock at which the caller has its final answer.
-        prompt: What it asks of its upstream.
-        splitter: Where the stream stands.
-        sent_to: Instances that it was sent to.
-        attempts: The upstreams that were chosen: why, what was passed over,
-            and what became of each attempt.
-        reservation: What the latest attempt is counted as by the owner of its
-            upstream, None if it is not.
-        unreachable: Instances that no connection was to be had to.
+        rank: Priority that is sent to upstreams.
+        deadline: Router clock by which the caller has its final response.
+        prompt: The parts of the request's prompt.
+        splitter: The position in the response stream.
+        sent_to: Instances that the request was sent to.
+        attempts: Records of the attempts: the upstream, why it was chosen,
+            which ones were passed over, and the result.
+        reservation: The reservation of the latest attempt at the owner of its
+            upstream, None without one.
+        unreachable: Instances that accepted no connection.
         replaced: Instances at whose addresses other processes answered.
-        retries: Repeats that were taken for it, sent or not.
-        retry_reserved_at: Router clock at which the last of them was taken.
-        may_have_run: Whether an upstream may have begun to run it.
-        retry_after_seconds: Seconds after which an upstream takes requests again, 0 if
-            some do now.
-        fingerprint: What it has in common with its repetitions, None until
-            it is asked for.
-        logged: Whether lines are written on it even if it ends well.
+        retries: Retries reserved for the request, sent or not.
+        retry_reserved_at: Router clock at the last of these reservations.
+        may_have_run: Whether an upstream may have begun to run the request.
+        retry_after_seconds: Seconds until an upstream of the service accepts
+            requests again, 0 if some do now.
+        fingerprint: Hash that is the same when the caller sends the request
+            again, None until it is computed.
+        logged: Whether the request is logged even if it succeeds.
         span: The span of the request, None where nothing is traced.
-        attempt_span: The span of the latest attempt, below it.
-        fallback: A failure answered by an upstream, to be passed on if no
-            other upstream does better.
+        attempt_span: The span of the latest attempt, a child of `span`.
+        fallback: An error response that is passed on if no other upstream
+            answers better.
     """
 
     id: str
@@ -97,20 +97,21 @@
 
     @property
     def attempts_left(self) -> int:
-        """Upstreams that it may still be sent to."""
+        """How many more upstreams the rule allows to send the request to."""
         return self.rule.then.attempts - len(self.sent_to)
 
     @property
     def may_send(self) -> bool:
-        """Whether it may be sent without another repeat.
+        """Whether the request may be sent without reserving another retry.
 
-        A repeat is spent when it is sent: an upstream that accepts no
-        connection costs none. One that other processes have replaced has not
-        had the request, but those have: it costs a repeat and no attempt.
+        A retry is used up when it is sent, so an unreachable upstream uses
+        none. Where another process answered at the address of an upstream,
+        that process received the request but the upstream did not: this uses
+        up a retry but no attempt of the rule.
         """
         return len(self.sent_to) + len(self.replaced) <= self.retries
 
     @property
     def tried(self) -> list[str]:
-        """Instances that are of no use to it any more."""
+        """Instances that are not to be chosen again for the request."""
         return [*self.sent_to, *self.unreachable, *self.replaced]
