--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -35,7 +35,7 @@
 MAX_UNREACHABLE = 16
 # Attempts answered by another process at the address of a former upstream.
 MAX_REPLACED = 4
-# for which a repeat may be reserved before it is sent: two connects that time out
+# Time that a reserved retry may stay unsent: two connects that time out.
 RETRY_HOLD_SECONDS = 1.0
 
 SECONDS_BUCKETS = (0.025, 0.05, 0.1, 0.125, 0.25, 0.5, 0.6, 1.0, 2.0, 5.0, 15.0)
@@ -144,11 +144,11 @@
             outcome = errors.CallerGone.kind
         seconds = trio.current_time() - request.arrived
         request_id = request.header(self.resolver.headers.request_id) or ''
-        placed = [] if ticket is None else ticket.attempts
+        attempts = [] if ticket is None else ticket.attempts
         rule = '' if ticket is None else ticket.rule.name
         REQUESTS_ENDED.inc({'rule': rule, 'outcome': outcome})
         REQUEST_SECONDS.observe({}, seconds)
-        ordinary = outcome == decision_records.ANSWERED and len(placed) == 1
+        ordinary = outcome == decision_records.ANSWERED and len(attempts) == 1
         logs.request_ended(
             ordinary and not ticket.logged,
             request=request_id,
@@ -158,11 +158,13 @@
             customer='' if ticket is None else ticket.customer,
             service='' if ticket is None else ticket.service,
             placed=[
-                f'{attempt.upstream} {attempt.reason}' for attempt in placed
+                f'{attempt.upstream} {attempt.reason}' for attempt in attempts
             ],
-            passed_over=passed_over_summaries(placed),
+            passed_over=passed_over_summaries(attempts),
             copied_from=[
-                attempt.copied_from for attempt in placed if attempt.copied_from
+                attempt.copied_from
+                for attempt in attempts
+                if attempt.copied_from
             ],
             sent_to=[] if ticket is None else ticket.sent_to,
             unreachable=[] if ticket is None else ticket.unreachable,
@@ -415,11 +417,11 @@
 
 
 def passed_over_summaries(
-    placed: Iterable[decisions_module.Attempt],
+    attempts: Iterable[decisions_module.Attempt],
 ) -> list[str]:
     """Returns the upstreams that were passed over and why, for the log."""
     return [
         f'{candidate.upstream} {candidate.reason}'
-        for attempt in placed
+        for attempt in attempts
         for candidate in attempt.passed_over
     ]
--- a/lavenderbend/coordination/forwarding/interfaces.py
+++ b/lavenderbend/coordination/forwarding/interfaces.py
@@ -162,6 +162,10 @@
     ) -> Exchange:
         """Returns a connection that no other request uses.
 
+        Args:
+            upstream: The upstream.
+            repeatable: Whether the request may run twice.
+
         Raises:
             UpstreamUnreachable: The upstream accepts none; nothing was sent.
         """
@@ -220,13 +224,13 @@
 
     @abc.abstractmethod
     async def fetch(
-        self, host: str, known: forwarding.RawSnapshot | None
+        self, host: str, base: forwarding.RawSnapshot | None
     ) -> forwarding.RawSnapshot:
         """Returns the snapshot of another router.
 
         Args:
             host: Host of that router.
-            known: A snapshot whose content need not be sent again.
+            base: A snapshot whose content need not be sent again.
 
         Raises:
             PeerError: It did not answer in time.
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of forwarding."""
+"""Fakes of callers, upstreams, peers and the store for forwarding tests."""
 
 from __future__ import annotations
 
@@ -81,17 +81,19 @@
     )
 
 
-def snapshot(revision=1, the_table=None, *found):
-    by_name = {one.instance: one for one in found}
-    parts = [str(the_table), *sorted(str(one) for one in found)]
-    # a part that changes is another key, as far as digests can tell
+def snapshot(revision=1, forwarding_table=None, *members):
+    by_name = {member.instance: member for member in members}
+    parts = [str(forwarding_table), *sorted(str(member) for member in members)]
+    # A changed part becomes another key, so that the digest changes.
     items = {part: forwarding.RawItem(1, b'') for part in parts}
     raw = forwarding.RawSnapshot(revision, items)
-    return forwarding.Snapshot(revision, raw.digest, the_table, by_name, raw)
+    return forwarding.Snapshot(
+        revision, raw.digest, forwarding_table, by_name, raw
+    )
 
 
 class Source(interfaces.SnapshotSource):
-    """A store whose content, delay and failure a test sets."""
+    """A store with content, delay and error that a test sets."""
 
     def __init__(self, content=None):
         self.content = content
@@ -126,7 +128,7 @@
 
 
 class SuspensionClock:
-    """A clock that goes on while the process is suspended."""
+    """A clock that continues while the process is suspended."""
 
     def __init__(self):
         self.suspended = 0.0
@@ -136,10 +138,10 @@
 
 
 class Answer(interfaces.CallerAnswer):
-    """Keeps what a caller gets, a write that was cut left out.
+    """Records what a caller receives, without writes that were cancelled.
 
-    A write is cut before the caller has any of it, as one of a socket whose
-    buffer is full.
+    A write is cancelled before the caller has any of it, like one to a socket
+    with a full buffer.
     """
 
     def __init__(self):
@@ -176,10 +178,10 @@
 
 
 def reply(status=200, body=(b'done',), delay=0.0, then=None, **headers):
-    """Returns what an upstream does with one request.
+    """Returns how an upstream responds to one request.
 
-    `then` is raised behind the body; a number between the parts of the body
-    is a pause in seconds.
+    `then` is raised after the body. A float among the parts of the body is a
+    pause in seconds.
     """
     named = {'x-signature': 'sig', **headers}
     raw = tuple((k.encode(), v.encode()) for k, v in named.items() if v)
@@ -202,15 +204,15 @@
 
 
 class Exchange(interfaces.Exchange):
-    def __init__(self, owner, instance, step):
-        self.owner = owner
+    def __init__(self, exchanges, instance, step):
+        self.exchanges = exchanges
         self.instance = instance
         self.step = step
         self.parts = list(getattr(step, 'body', ()))
         self.ended = False
 
     async def send(self, request):
-        self.owner.sent.append((self.instance, request))
+        self.exchanges.sent.append((self.instance, request))
         if isinstance(self.step, Exception):
             raise self.step
         await trio.sleep(self.step.delay)
@@ -230,43 +232,47 @@
         return None
 
     def close(self):
-        self.owner.closed.append((self.instance, self.ended))
+        self.exchanges.closed.append((self.instance, self.ended))
 
 
 class Exchanges(interfaces.Exchanges):
-    """Upstreams that do what a test lists, by instance.
+    """Upstreams that respond as a test lists, by instance.
 
     Attributes:
-        steps: What each does next; the last is repeated.
-        sent: Instances and the requests that they got.
-        closed: Instances, and whether their answer had come whole.
-        dead: Instances that accept no connections.
+        steps: The next responses of each; the last one is repeated.
+        sent: Instances and the requests sent to them.
+        closed: Instances, and whether their response was complete.
+        refusing: Instances that accept no connections.
     """
 
     def __init__(self, **steps):
         self.steps = {name: list(value) for name, value in steps.items()}
         self.sent = []
         self.closed = []
-        self.dead = set()
+        self.refusing = set()
 
-    async def accepts(self, one):
+    async def accepts(self, target):
         await trio.lowlevel.checkpoint()
-        return one.instance not in self.dead
+        return target.instance not in self.refusing
 
-    async def open(self, one, repeatable):
+    async def open(self, target, repeatable):
         await trio.lowlevel.checkpoint()
-        if one.instance in self.dead:
+        if target.instance in self.refusing:
             raise errors.UpstreamUnreachable('refused')
-        steps = self.steps[one.instance]
+        steps = self.steps[target.instance]
         step = steps.pop(0) if len(steps) > 1 else steps[0]
-        return Exchange(self, one.instance, step)
+        return Exchange(self, target.instance, step)
 
     def names(self):
         return [instance for instance, _ in self.sent]
 
 
 class Router:
-    """The parts of a forwarding router over fakes."""
+    """A forwarding router assembled over fakes.
+
+    Attributes:
+        learned: Facts that the router applied, in order.
+    """
 
     def __init__(self, content, exchanges, fleet=1, **follow):
         self.clock = SuspensionClock()
@@ -282,10 +288,10 @@
         self.loads = loads.Loads()
         self.exchanges = exchanges
         self.learned = []
-        found = facts.Facts('10.0.0.1', self.learn)
-        self.crashes = crashes.CrashDetector(exchanges.accepts, found)
+        shared_facts = facts.Facts('10.0.0.1', self.learn)
+        self.crashes = crashes.CrashDetector(exchanges.accepts, shared_facts)
         self.departures = departures.Departures(
-            self.snapshots, self.directory, found
+            self.snapshots, self.directory, shared_facts
         )
         self.silence = silence.SilenceWatch(self.health)
         self.budget = budget.RepeatBudget(
@@ -339,8 +345,8 @@
         elif fact.kind != departures.LEFT:
             self.crashes.apply_fact(fact)
 
-    async def ask(self, **fields):
-        """Returns the caller's answer and the error, if there was one."""
+    async def send_request(self, **fields):
+        """Returns the caller's response, and the error or None."""
         answer = Answer()
         error = None
         async with trio.open_nursery() as nursery:
@@ -372,12 +378,13 @@
 
 
 class Network(interfaces.DatagramLink):
-    """Datagrams of one router over a shared map of routers.
+    """A router's link to the other routers in a shared map.
 
     Attributes:
-        cut: Pairs of hosts between which nothing passes.
-        delay: Seconds that a message takes; the nursery delivers it.
-        too_slow: Whether a snapshot does not come in time, while messages do.
+        cut: Pairs of hosts between which nothing is delivered.
+        delay: Delivery time in seconds; the nursery delivers the messages.
+        held: Messages held back until `release`, None to deliver at once.
+        too_slow: Whether snapshot fetches time out while messages arrive.
     """
 
     delay = 0.0
@@ -413,7 +420,7 @@
         for message in held:
             self.receiver(message)
 
-    async def fetch(self, host, known):
+    async def fetch(self, host, base):
         await trio.sleep(0.001)
         if self.too_slow or not self.reaches(host):
             raise errors.PeerUnreachable('cut')
@@ -421,7 +428,7 @@
 
 
 class Node:
-    """One router's knowledge, with its peers."""
+    """The state that one router shares with its peers, without requests."""
 
     def __init__(self, host, zone, source, routers, cut, seeds, **follow):
         self.clock = SuspensionClock()
@@ -446,7 +453,9 @@
             self.link,
             random.Random(host),
         )
-        self.crashes = crashes.CrashDetector(lambda one: True, self.peers.facts)
+        self.crashes = crashes.CrashDetector(
+            lambda target: True, self.peers.facts
+        )
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
--- a/tests/test_coordination/test_forwarding_give_up.py
+++ b/tests/test_coordination/test_forwarding_give_up.py
@@ -1,4 +1,4 @@
-"""Upstreams whose bytes come in the moment in which they are given up."""
+"""Upstreams whose bytes arrive just as their attempt is ended as silent."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class PausingExchange(fakes.Exchange):
-    """Delivers events as a socket does: once read they are out of it.
+    """Delivers events like a socket: once read they are gone from it.
 
     The first upstream sends some events, pauses for whole periods of the
-    router's check, and goes on. The pause ends in the very turn of the event
-    loop in which the router looks whether it is silent.
+    router's silence check, and continues. The pause ends in the same pass of
+    the event loop in which the router checks for silence.
     """
 
     async def send(self, request):
-        self.owner.sent.append((self.instance, request))
+        self.exchanges.sent.append((self.instance, request))
         last = dict(request.headers).get(b'last-event-id', b'0')
         first = int(last) + 1
         self.queue, self.events = trio.open_memory_channel(EVENTS + 1)
-        pause = self.owner.pause if len(self.owner.sent) == 1 else 0
-        self.owner.nursery.start_soon(self.stream, first, pause)
+        pause = self.exchanges.pause if len(self.exchanges.sent) == 1 else 0
+        self.exchanges.nursery.start_soon(self.stream, first, pause)
         return fakes.reply().head
 
     async def stream(self, first, pause):
@@ -52,17 +52,17 @@
     nursery = None
     pause = 0
 
-    async def open(self, one, repeatable):
-        return PausingExchange(self, one.instance, fakes.reply())
+    async def open(self, upstream, repeatable):
+        return PausingExchange(self, upstream.instance, fakes.reply())
 
 
-async def ask(schedule, pause):
-    """Returns a caller's answer, and to how many upstreams it was sent."""
+async def send_request(schedule, pause):
+    """Returns the caller's response and the number of attempts."""
     trio._core._run._r.seed(schedule)
     exchanges = PausingExchanges()
     exchanges.pause = pause
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *found)
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
+    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *upstreams)
     router = fakes.Router(content, exchanges)
     answer = fakes.Answer()
     async with trio.open_nursery() as nursery:
@@ -77,23 +77,22 @@
 
 
 @pytest.mark.parametrize('pause', [4, 5, 6])
-async def test_pause_that_ends_as_the_router_gives_up_loses_no_event(
+async def test_event_arriving_as_the_attempt_is_ended_is_not_lost(
     pause, autojump_clock
 ):
-    # A caller got its draft as a complete answer with an event missing. Its
-    # engine paused for half a second; the router took it for silent in the
-    # turn in which its next event came. The event was read and counted, the
-    # cancellation hit its write, and the next engine was asked to go on
-    # behind it. In which order one turn runs its tasks is drawn at random:
-    # each draw must end well.
+    # Guards against a complete response that lacks an event. An engine paused
+    # for half a second and was judged silent in the event loop pass in which
+    # its next event was read: the event was counted, its write was cancelled,
+    # and the next engine resumed after it. The order of tasks within a pass is
+    # random; each order must be correct.
     whole = b''.join(event(number) for number in range(1, EVENTS + 1))
-    sends = set()
-    wrong = {}
+    send_counts = set()
+    incomplete = {}
     for schedule in range(SCHEDULES):
-        answer, sent = await ask(schedule, pause)
-        sends.add(sent)
+        answer, sent = await send_request(schedule, pause)
+        send_counts.add(sent)
         if answer.body != whole or not answer.finished:
-            wrong[schedule] = (answer.body, answer.finished)
-    assert wrong == {}
-    # the pause of four checks is under the limit, those of more are not
-    assert (2 in sends) == (pause > 4)
+            incomplete[schedule] = (answer.body, answer.finished)
+    assert incomplete == {}
+    # A pause of four checks is below the limit, longer ones are above it.
+    assert (2 in send_counts) == (pause > 4)
--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave get nothing new, whoever found out."""
+"""Upstreams that leave get no new requests, however that is known."""
 
 from __future__ import annotations
 
@@ -13,30 +13,31 @@
 from tests.test_coordination import test_forwarding_peers as peer_fleets
 
 HOSTS = peer_fleets.HOSTS
-# from the store's word on; the fleets here are told to apply versions within it
+# Time from the store's change until no requests may be sent; the same bound as
+# for applying versions in these fleets.
 LEAVE_SECONDS = 2.0
 NOW = 10.0
 
 
 @pytest.fixture
 async def fleet(nursery, autojump_clock):
-    found = peer_fleets.Fleet(nursery)
+    fleet = peer_fleets.Fleet(nursery)
     await trio.sleep(5.0)
-    return found
+    return fleet
 
 
-def slow(node):
-    """Has all that holds the configuration come too late at one router."""
+def delay_configuration(node):
+    """Makes all sources of the configuration time out at one router."""
     node.source.error = errors.KeyValueUnavailable('TooSlowError')
     node.link.too_slow = True
 
 
-async def put_versions(fleet, *found, seconds):
+async def put_versions(fleet, *upstreams, seconds):
     """Puts a new version of the configuration each 0.7 seconds."""
     end = trio.current_time() + seconds
     revision = fleet.content.revision
     for number in itertools.count(revision + 1):
-        fleet.put(fakes.snapshot(number, fakes.table(number), *found))
+        fleet.put(fakes.snapshot(number, fakes.table(number), *upstreams))
         if trio.current_time() + 0.7 > end:
             break
         await trio.sleep(0.7)
@@ -44,16 +45,17 @@
 
 
 def names(node):
-    return sorted(one.instance for one in node.directory.of('chat'))
+    return sorted(upstream.instance for upstream in node.directory.of('chat'))
 
 
 @pytest.mark.parametrize('says_so', [True, False])
-async def test_router_whose_reads_are_slow_hears_who_left(
+async def test_router_with_slow_reads_learns_which_upstreams_left(
     fleet, autojump_clock, says_so
 ):
-    # guards against sending to what left, known to all but one router
+    # Guards against a router with slow reads that still sends to an upstream
+    # that all other routers know to have left.
     node = fleet.routers[HOSTS[3]]
-    slow(node)
+    delay_configuration(node)
     both = fakes.upstream('e1'), fakes.upstream('e2')
     await put_versions(fleet, *both, seconds=2.0)
     revision = fleet.content.revision + 1
@@ -63,13 +65,14 @@
     assert names(node) == ['e2']
 
 
-async def test_what_left_is_no_lapse_for_a_router_whose_reads_were_slow(
+async def test_left_upstream_is_not_kept_as_lapsed_after_slow_reads(
     fleet, autojump_clock
 ):
-    # guards against taking a slow router for a store that was away
+    # Guards against treating slow reads of this router as a store outage, after
+    # which missing entries are kept.
     node = fleet.routers[HOSTS[3]]
     del node.peers.on_learned[departures.LEFT]
-    slow(node)
+    delay_configuration(node)
     both = fakes.upstream('e1'), fakes.upstream('e2')
     await put_versions(fleet, *both, seconds=2.5)
     await put_versions(fleet, both[1], seconds=1.0)
@@ -81,10 +84,11 @@
 async def test_lapsed_entry_of_an_upstream_that_left_is_not_kept(
     autojump_clock,
 ):
-    # guards against keeping as lapsed what another router saw leave
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
+    # Guards against keeping a missing entry as lapsed although another router
+    # saw the upstream leave.
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
     router = fakes.Router(
-        fakes.snapshot(1, fakes.table(1), *found), fakes.Exchanges()
+        fakes.snapshot(1, fakes.table(1), *upstreams), fakes.Exchanges()
     )
     await trio.sleep(10.0)
     router.snapshots.note_answered(trio.current_time())
@@ -94,8 +98,11 @@
     assert names(router) == ['e2']
 
 
-async def test_entry_that_is_written_again_is_used_again(fleet, autojump_clock):
-    # guards against taking a partition from the store for the last word
+async def test_upstream_is_used_again_once_its_entry_returns(
+    fleet, autojump_clock
+):
+    # Guards against an upstream that was partitioned from the store and stays
+    # unused after its entry returns.
     for router in fleet.routers.values():
         router.snapshots.back_at = float('-inf')
     fleet.put(fakes.snapshot(2, fakes.table(1), fakes.upstream('e2')))
@@ -109,10 +116,11 @@
 
 
 @pytest.mark.parametrize('source', ['', '-1', 'x', '9' * 5000, '²'])
-async def test_departure_without_a_revision_takes_nobody_out(
+async def test_departure_without_a_revision_is_ignored(
     fleet, autojump_clock, source
 ):
-    # guards against a message that ends the router or drops an upstream
+    # Guards against a malformed message that stops the router or removes an
+    # upstream.
     node = fleet.routers[HOSTS[3]]
     fleet.routers[HOSTS[0]].peers.facts.add(
         departures.LEFT, 'e1', source, departures.FACT_SECONDS
@@ -121,100 +129,109 @@
     assert names(node) == ['e1', 'e2']
 
 
-def word(status=200, **headers):
-    """Returns an answer of an upstream that says it leaves."""
+def leaving_reply(status=200, **headers):
+    """Returns a response that announces that its upstream leaves."""
     return fakes.reply(status, **{'x-leaving': '1'}, **headers)
 
 
-async def test_upstream_whose_answer_says_it_leaves_gets_nothing_new(
+async def test_upstream_that_announced_leaving_gets_no_new_requests(
     autojump_clock,
 ):
-    # guards against waiting for a store that is away to say so
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    exchanges = fakes.Exchanges(e1=[word()], e2=[word()])
-    router = fakes.Router(fakes.snapshot(1, fakes.table(1), *found), exchanges)
-    await router.ask()
+    # Guards against relying on the store, which may be unavailable, to show
+    # that an upstream leaves.
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
+    exchanges = fakes.Exchanges(e1=[leaving_reply()], e2=[leaving_reply()])
+    router = fakes.Router(
+        fakes.snapshot(1, fakes.table(1), *upstreams), exchanges
+    )
+    await router.send_request()
     (leaving,) = exchanges.names()
     other = {'e1': 'e2', 'e2': 'e1'}[leaving]
     exchanges.steps[other] = [fakes.reply()]
     for _ in range(20):
-        await router.ask()
+        await router.send_request()
         await trio.sleep(10.0)
     assert exchanges.names() == [leaving] + [other] * 20
 
 
-async def test_lapsed_entry_of_an_upstream_that_said_it_leaves_is_not_kept(
+async def test_lapsed_entry_of_an_upstream_that_announced_leaving_is_not_kept(
     autojump_clock,
 ):
-    # guards against the store's return undoing what an answer said
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    exchanges = fakes.Exchanges(e1=[word()], e2=[fakes.reply()])
-    router = fakes.Router(fakes.snapshot(1, fakes.table(1), *found), exchanges)
+    # Guards against a recovered store that overrides the announcement in a
+    # response.
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
+    exchanges = fakes.Exchanges(e1=[leaving_reply()], e2=[fakes.reply()])
+    router = fakes.Router(
+        fakes.snapshot(1, fakes.table(1), *upstreams), exchanges
+    )
     while 'e1' not in exchanges.names():
-        await router.ask()
+        await router.send_request()
         router.loads.begin('e2')
     await trio.sleep(10.0)
     router.snapshots.note_answered(trio.current_time())
-    left = fakes.snapshot(3, fakes.table(1), found[1])
+    left = fakes.snapshot(3, fakes.table(1), upstreams[1])
     router.snapshots.accept(left, trio.current_time())
     assert names(router) == ['e2']
 
 
 @pytest.mark.parametrize(('seconds', 'used'), [(50.0, False), (70.0, True)])
-async def test_entry_that_comes_back_does_not_unsay_that_its_upstream_leaves(
+async def test_returning_entry_does_not_override_the_leaving_announcement(
     autojump_clock, seconds, used
 ):
-    # guards against an entry from before the word that is written late
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
+    # Guards against an entry from before the announcement that reaches the
+    # store late.
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
     router = fakes.Router(
-        fakes.snapshot(1, fakes.table(1), *found), fakes.Exchanges()
+        fakes.snapshot(1, fakes.table(1), *upstreams), fakes.Exchanges()
     )
     router.departures.note_announcement('e1')
     for revision in (2, 3):
-        gone = fakes.snapshot(revision, fakes.table(revision), found[1])
+        gone = fakes.snapshot(revision, fakes.table(revision), upstreams[1])
         router.snapshots.accept(gone, trio.current_time())
         await trio.sleep(seconds / 2)
     back = fakes.upstream('e1', revision=4)
     router.snapshots.accept(
-        fakes.snapshot(4, fakes.table(4), back, found[1]), trio.current_time()
+        fakes.snapshot(4, fakes.table(4), back, upstreams[1]),
+        trio.current_time(),
     )
     assert names(router) == (['e1', 'e2'] if used else ['e2'])
 
 
-async def test_word_of_another_process_at_the_address_is_not_the_upstreams(
+async def test_leaving_announcement_of_another_process_is_ignored(
     autojump_clock,
 ):
-    # guards against taking an upstream out for what a stranger says
-    exchanges = fakes.Exchanges(e1=[word(421), fakes.reply()])
+    # Guards against removing an upstream for the response of another process
+    # at its address.
+    exchanges = fakes.Exchanges(e1=[leaving_reply(421), fakes.reply()])
     router = fakes.Router(
         fakes.snapshot(1, fakes.table(1), fakes.upstream('e1')), exchanges
     )
-    await router.ask()
+    await router.send_request()
     router.directory.misplaced.clear()
-    answer, _ = await router.ask()
+    answer, _ = await router.send_request()
     assert answer.status == 200
 
 
-async def test_word_of_an_answer_reaches_the_other_routers(
+async def test_leaving_announcement_reaches_the_other_routers(
     fleet, autojump_clock
 ):
-    # guards against each router finding out by a request of its own
-    one = fleet.routers[HOSTS[0]]
+    # Guards against each router learning it only by a request of its own.
+    router = fleet.routers[HOSTS[0]]
     for host in HOSTS:
         fleet.isolate_from_store(host)
-    one.departures.note_announcement('e1')
+    router.departures.note_announcement('e1')
     await trio.sleep(1.0)
     for router in fleet.routers.values():
         assert names(router) == ['e2']
 
 
-async def test_many_that_leave_at_once_leave_their_former_set_known(
+async def test_former_candidates_stay_known_when_many_upstreams_leave(
     autojump_clock,
 ):
-    # guards against reading prompts anew that those who leave still hold
-    found = [fakes.upstream(f'e{number}') for number in range(20)]
+    # Guards against processing prompts again that leaving upstreams still hold.
+    upstreams = [fakes.upstream(f'e{number}') for number in range(20)]
     router = fakes.Router(
-        fakes.snapshot(1, fakes.table(1), *found), fakes.Exchanges()
+        fakes.snapshot(1, fakes.table(1), *upstreams), fakes.Exchanges()
     )
     for number in range(12):
         router.directory.note_left(f'e{number}', 2)
--- a/tests/test_coordination/test_forwarding_lines.py
+++ b/tests/test_coordination/test_forwarding_lines.py
@@ -1,4 +1,4 @@
-"""The lines that a forwarding router writes on each request."""
+"""Log lines of a forwarding router about each request."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 def ignore(message):
-    """Takes lines that no test looks at."""
+    """Discards a log message."""
 
 
 @pytest.fixture
 def lines(monkeypatch):
     budget = log_writer.LineBudget(1000.0, 1000.0)
     monkeypatch.setattr(logs, 'ORDINARY', budget)
-    # what was logged while there was no destination yet, by other tests in
-    # this process, goes to the first one: not to the test's own
+    # Messages that other tests in this process logged without a destination
+    # are delivered to the first one added: keep them out of this test's list.
     eliot.add_destinations(ignore)
     eliot.remove_destination(ignore)
-    found = []
-    eliot.add_destinations(found.append)
-    yield found
-    eliot.remove_destination(found.append)
+    messages = []
+    eliot.add_destinations(messages.append)
+    yield messages
+    eliot.remove_destination(messages.append)
 
 
-def router(steps, rule):
+def make_router(steps, rule):
     exchanges = fakes.Exchanges(e1=(), e2=())
     exchanges.steps = {'e1': steps, 'e2': steps}
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    content = fakes.snapshot(1, fakes.table(1, (rule,)), *found)
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
+    content = fakes.snapshot(1, fakes.table(1, (rule,)), *upstreams)
     return fakes.Router(content, exchanges)
 
 
@@ -58,10 +58,10 @@
     ]
 
 
-async def test_each_decision_on_a_request_is_a_line(autojump_clock, lines):
+async def test_each_decision_on_a_request_is_logged(autojump_clock, lines):
     rule = fakes.rule(idempotent=True, attempts=2)
-    subject = router([fakes.LOST_ANSWER, fakes.reply()], rule)
-    await subject.ask()
+    router = make_router([fakes.LOST_ANSWER, fakes.reply()], rule)
+    await router.send_request()
     assert events(lines) == [
         'request_admitted',
         'request_sent',
@@ -79,30 +79,30 @@
     assert second['attempt'] == 2
 
 
-async def test_process_that_dies_has_said_where_a_request_went(
+async def test_killed_process_has_logged_where_a_request_was_sent(
     autojump_clock, lines
 ):
-    # A router is killed while an upstream works on a request: the line at
-    # the end is never written. The caller's question, whether it may have
-    # run, is answered by the line of its sending.
+    # A router is killed while an upstream runs a request, and never logs its
+    # end. Whether the request may have run shows in the line logged when it
+    # was sent.
     rule = fakes.rule()
-    subject = router([fakes.reply(delay=4.0)], rule)
+    router = make_router([fakes.reply(delay=4.0)], rule)
     async with fakes.trio.open_nursery() as nursery:
-        nursery.start_soon(subject.ask)
+        nursery.start_soon(router.send_request)
         await fakes.trio.sleep(1.0)
         assert events(lines) == ['request_admitted', 'request_sent']
         nursery.cancel_scope.cancel()
 
 
-async def test_failed_request_has_its_lines_over_the_rate(
+async def test_failed_request_is_logged_above_the_log_rate(
     autojump_clock, lines
 ):
-    # A flood of ordinary requests uses up the lines of a second. One that
-    # fails among them still has all that its cause is found by.
+    # A flood of ordinary requests uses up the log rate. A request that fails
+    # among them must still have all lines needed to find the cause.
     logs.ORDINARY.rate = logs.ORDINARY.tokens = 0.0
     rule = fakes.rule(idempotent=True, attempts=2)
-    subject = router([fakes.LOST_ANSWER], rule)
-    await subject.ask()
+    router = make_router([fakes.LOST_ANSWER], rule)
+    await router.send_request()
     assert events(lines) == [
         'attempt_failed',
         'request_sent',
@@ -114,37 +114,38 @@
     assert ended['outcome'] == 'unknown'
 
 
-async def test_ordinary_request_over_the_rate_is_only_counted(
+async def test_ordinary_request_above_the_log_rate_is_only_counted(
     autojump_clock, lines
 ):
     logs.ORDINARY.rate = logs.ORDINARY.tokens = 0.0
-    subject = router([fakes.reply()], fakes.rule())
-    await subject.ask()
+    router = make_router([fakes.reply()], fakes.rule())
+    await router.send_request()
     assert events(lines) == []
 
 
-async def test_refused_request_says_why(autojump_clock, lines):
-    subject = router([fakes.reply()], fakes.rule())
-    await subject.ask(key='wrong')
+async def test_refused_request_is_logged_with_its_reason(autojump_clock, lines):
+    router = make_router([fakes.reply()], fakes.rule())
+    await router.send_request(key='wrong')
     assert events(lines) == ['request_ended']
     (ended,) = named(lines, 'request_ended')
     assert ended['outcome'] == 'not-authenticated'
 
 
-async def test_line_says_from_where_a_prompt_was_to_be_copied(
+async def test_log_line_names_the_source_of_a_prompt_copy(
     autojump_clock, lines
 ):
-    # First events come late on a chat that came back. Whether its prompt was
-    # read anew, or copied and from where, is in the line of the request.
-    subject = router([fakes.reply()], fakes.rule())
+    # When the first event of a returning chat is late, the request's log line
+    # must show whether its prompt was copied, and from where, or processed
+    # again.
+    router = make_router([fakes.reply()], fakes.rule())
     parts = {'x_prompt_parts': 'sys:100,chat:9000,own:10'}
-    await subject.ask(**parts)
+    await router.send_request(**parts)
     (ended,) = named(lines, 'request_ended')
     assert ended['copied_from'] == []
     (first,) = ended['sent_to']
     for _ in range(40):
-        subject.loads.begin(first)
-    await subject.ask(**parts)
+        router.loads.begin(first)
+    await router.send_request(**parts)
     _, ended = named(lines, 'request_ended')
     assert ended['sent_to'] != [first]
     assert ended['copied_from'] == [f'{first}: sent there before']
@@ -155,7 +156,7 @@
 
 
 class WritingAnswer(fakes.Answer):
-    """The caller has a part of its answer only once its write has ended."""
+    """A response of which the caller has a part only after its write ended."""
 
     seconds = 0.0
 
@@ -166,19 +167,19 @@
         self.body += data
 
 
-async def ended_attempt(lines, subject, answer=None, **fields):
-    """Returns the line of a request's first attempt, which failed."""
+async def ended_attempt(lines, router, answer=None, **fields):
+    """Returns the log line of a request's first attempt, which failed."""
     answer = answer or WritingAnswer()
     async with fakes.trio.open_nursery() as nursery:
-        nursery.start_soon(subject.silence.run)
+        nursery.start_soon(router.silence.run)
         with contextlib.suppress(errors.RequestError):
-            await subject.forwarder.forward(fakes.request(**fields), answer)
+            await router.forwarder.forward(fakes.request(**fields), answer)
         nursery.cancel_scope.cancel()
     return named(lines, 'attempt_failed')[0]
 
 
 STREAM = fakes.rule(streaming=True, resumable=True, attempts=2)
-WHO_ENDED = {
+ENDS = {
     'broken off': (
         fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER),
         ('UpstreamLost', 'upstream', 'upstream', 'reset'),
@@ -194,28 +195,30 @@
 }
 
 
-@pytest.mark.parametrize('way', sorted(WHO_ENDED))
-async def test_end_of_an_attempt_says_who_ended_it(way, autojump_clock, lines):
-    # A caller complains of a gap in its stream. Whether the upstream broke
-    # off, or the router gave it up and for what, tells causes apart that
-    # look alike to the caller and to the upstream.
-    step, (kind, by, waited_for, cause) = WHO_ENDED[way]
+@pytest.mark.parametrize('end', sorted(ENDS))
+async def test_failed_attempt_is_logged_with_who_ended_it(
+    end, autojump_clock, lines
+):
+    # Causes of a gap in a stream look alike to the caller and the upstream.
+    # The log must show whether the upstream broke off, or the router ended the
+    # attempt and why.
+    step, (kind, by, waited_for, cause) = ENDS[end]
     rest = fakes.reply(body=(event(2),))
-    line = await ended_attempt(lines, router([step, rest], STREAM))
+    line = await ended_attempt(lines, make_router([step, rest], STREAM))
     assert (line['kind'], line['ended_by']) == (kind, by)
     assert (line['waited_for'], line['cause']) == (waited_for, cause)
     assert (line['last_event'], line['written_event']) == (1, 1)
 
 
-async def test_end_within_a_write_says_what_the_caller_lacks(
+async def test_attempt_ended_within_a_write_logs_the_written_event(
     autojump_clock, lines
 ):
-    # The deadline comes while a slow caller takes the second event: it was
-    # read, and the caller has only the first.
+    # The deadline passes while the second event is written to a slow caller:
+    # it was read, but the caller has only the first.
     answer = WritingAnswer()
     answer.seconds = 0.3
-    subject = router([fakes.reply(body=(event(1), event(2)))], STREAM)
-    line = await ended_attempt(lines, subject, answer, x_deadline_ms='500')
+    router = make_router([fakes.reply(body=(event(1), event(2)))], STREAM)
+    line = await ended_attempt(lines, router, answer, x_deadline_ms='500')
     assert (line['kind'], line['ended_by']) == ('Cancelled', 'router')
     assert line['cause'] == failed_attempts.DEADLINE
     assert (line['last_event'], line['written_event']) == (2, 1)
@@ -226,50 +229,57 @@
 async def test_unfinished_event_of_a_broken_stream_is_counted(
     autojump_clock, lines
 ):
-    torn = fakes.reply(body=(event(1) + b'id: 2\nda',), then=fakes.LOST_ANSWER)
+    truncated = fakes.reply(
+        body=(event(1) + b'id: 2\nda',), then=fakes.LOST_ANSWER
+    )
     rest = fakes.reply(body=(event(2),))
-    line = await ended_attempt(lines, router([torn, rest], STREAM))
+    line = await ended_attempt(lines, make_router([truncated, rest], STREAM))
     assert line['unfinished_bytes'] == len(b'id: 2\nda')
     assert line['written_event'] == 1
 
 
-async def test_upstream_that_broke_off_is_named_though_its_caller_left(
+async def test_broken_off_upstream_is_logged_if_the_caller_disconnected(
     autojump_clock, lines
 ):
-    # connections of both are reset in the same moment
+    # The connections of both are reset at the same moment.
     answer = WritingAnswer()
     answer.disconnected = True
-    torn = fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER)
-    line = await ended_attempt(lines, router([torn], STREAM), answer)
+    truncated = fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER)
+    line = await ended_attempt(lines, make_router([truncated], STREAM), answer)
     assert line['ended_by'] == 'upstream'
 
 
-async def test_failure_that_is_held_says_that_nobody_was_waited_for(
+async def test_held_failure_is_logged_as_waiting_for_neither_side(
     autojump_clock, lines
 ):
     rule = fakes.rule(idempotent=True, attempts=2)
     line = await ended_attempt(
-        lines, router([fakes.reply(500), fakes.reply()], rule)
+        lines, make_router([fakes.reply(500), fakes.reply()], rule)
     )
     assert (line['ended_by'], line['waited_for']) == ('upstream', '')
 
 
-async def test_line_of_a_later_attempt_has_its_own_unfinished_bytes(
+async def test_unfinished_bytes_are_counted_for_each_attempt(
     autojump_clock, lines
 ):
-    torn = fakes.reply(body=(event(1), b'id: 2'), then=fakes.LOST_ANSWER)
+    truncated = fakes.reply(body=(event(1), b'id: 2'), then=fakes.LOST_ANSWER)
     rule = fakes.rule(streaming=True, resumable=True, attempts=3)
-    await ended_attempt(lines, router([torn, fakes.LOST_ANSWER], rule))
+    await ended_attempt(
+        lines, make_router([truncated, fakes.LOST_ANSWER], rule)
+    )
     failed = named(lines, 'attempt_failed')
     assert [line['unfinished_bytes'] for line in failed[:2]] == [5, 0]
 
 
-async def test_belief_taken_from_others_is_a_line_once(autojump_clock, lines):
-    # One router of hundreds sends nothing to an engine that others use. It
-    # took their word for the engine's death; its own lines said nothing of it.
-    known = health.Health()
-    known.note_suspected('e1', 2.0)
-    known.note_suspected('e1', 2.0)
+async def test_suspicion_received_from_peers_is_logged_once(
+    autojump_clock, lines
+):
+    # One router of hundreds stopped sending to an engine that others used,
+    # because a peer had reported the engine as unreachable, and its own log did
+    # not show why.
+    upstream_health = health.Health()
+    upstream_health.note_suspected('e1', 2.0)
+    upstream_health.note_suspected('e1', 2.0)
     (line,) = named(lines, 'upstream_avoided')
     assert line['upstream'] == 'e1'
     assert line['cause'] == health.FOUND_BY_OTHERS
--- a/tests/test_coordination/test_forwarding_silence.py
+++ b/tests/test_coordination/test_forwarding_silence.py
@@ -124,7 +124,7 @@
     )
     router = fakes.Router(content, exchanges)
     began = trio.current_time()
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert answer.body == event(1) + event(2)
     assert trio.current_time() - began < 0.8
 
@@ -136,7 +136,7 @@
     steps = [fakes.reply(body=(b'data: a\n\n', 2.0, b'data: b\n\n'))]
     exchanges.steps = {'e1': steps, 'e2': steps}
     router = resumable_router(exchanges)
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert error is None
     assert answer.body == b'data: a\n\ndata: b\n\n'
     assert len(exchanges.sent) == 1
@@ -249,7 +249,7 @@
     router = fakes.Router(
         fakes.snapshot(1, fakes.table(1, rules), *found), exchanges
     )
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert answer.heads == 1
     assert answer.body == event(1)
     assert not answer.finished
@@ -266,6 +266,6 @@
     ]
     exchanges.steps = {'e1': shared, 'e2': shared}
     router = resumable_router(exchanges)
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert error is None
     assert answer.body == event(1) + event(2) + event(3)
--- a/tests/test_coordination/test_forwarding_spans.py
+++ b/tests/test_coordination/test_forwarding_spans.py
@@ -17,34 +17,34 @@
 
 @pytest.fixture
 def exporter(monkeypatch):
-    found = in_memory_span_exporter.InMemorySpanExporter()
+    span_exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider()
-    provider.add_span_processor(export.SimpleSpanProcessor(found))
+    provider.add_span_processor(export.SimpleSpanProcessor(span_exporter))
     monkeypatch.setattr(trace, 'get_tracer_provider', lambda: provider)
     tracer = provider.get_tracer('test')
     monkeypatch.setattr(tracing, 'tracer', lambda: tracer)
-    return found
+    return span_exporter
 
 
-def router(steps, rule):
+def make_router(steps, rule):
     exchanges = fakes.Exchanges(e1=(), e2=())
     exchanges.steps = {'e1': steps, 'e2': steps}
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    content = fakes.snapshot(1, fakes.table(1, (rule,)), *found)
-    subject = fakes.Router(content, exchanges)
-    subject.forwarder.tracer = request_spans.Tracer()
-    return subject
+    upstreams = [fakes.upstream('e1'), fakes.upstream('e2')]
+    content = fakes.snapshot(1, fakes.table(1, (rule,)), *upstreams)
+    router = fakes.Router(content, exchanges)
+    router.forwarder.tracer = request_spans.Tracer()
+    return router
 
 
-async def test_each_attempt_is_a_span_below_the_request(
+async def test_attempts_are_child_spans_of_the_request(
     autojump_clock, exporter
 ):
-    # an operator follows a slow request from its caller's trace through the
-    # router: the attempt that failed and the one that answered stand below
-    # the request, and each upstream is told its own attempt as parent
+    # A failed attempt and the one that answered must be children of the
+    # request's span, which belongs to the caller's trace, and each upstream
+    # must get its own attempt as parent.
     rule = fakes.rule(idempotent=True, attempts=2)
-    subject = router([fakes.LOST_ANSWER, fakes.reply()], rule)
-    await subject.ask(traceparent=PARENT)
+    router = make_router([fakes.LOST_ANSWER, fakes.reply()], rule)
+    await router.send_request(traceparent=PARENT)
     first, second, request = exporter.get_finished_spans()
     assert f'{request.context.trace_id:x}' == '1' * 32
     assert f'{request.parent.span_id:x}' == '2' * 16
@@ -53,19 +53,21 @@
         assert attempt.parent.span_id == request.context.span_id
     assert first.status.description == 'UpstreamLost'
     assert second.status.is_ok
-    told = [
+    parent_ids = [
         dict(sent.headers)[b'traceparent'].decode().split('-')[2]
-        for _, sent in subject.exchanges.sent
+        for _, sent in router.exchanges.sent
     ]
-    spans = [f'{one.context.span_id:016x}' for one in (first, second)]
-    assert told == spans
+    span_ids = [
+        f'{attempt.context.span_id:016x}' for attempt in (first, second)
+    ]
+    assert parent_ids == span_ids
 
 
 async def test_refused_request_has_a_span_with_its_error(
     autojump_clock, exporter
 ):
-    subject = router([fakes.reply()], fakes.rule())
-    await subject.ask(key='wrong')
+    router = make_router([fakes.reply()], fakes.rule())
+    await router.send_request(key='wrong')
     (request,) = exporter.get_finished_spans()
     assert request.status.description == 'not-authenticated'
 
@@ -73,8 +75,8 @@
 async def test_without_a_collector_the_callers_trace_is_passed_on(
     autojump_clock,
 ):
-    subject = router([fakes.reply()], fakes.rule())
-    subject.forwarder.tracer = None
-    await subject.ask(traceparent=PARENT)
-    (_, sent), *_ = subject.exchanges.sent
+    router = make_router([fakes.reply()], fakes.rule())
+    router.forwarder.tracer = None
+    await router.send_request(traceparent=PARENT)
+    (_, sent), *_ = router.exchanges.sent
     assert dict(sent.headers)[b'traceparent'] == PARENT.encode()
--- a/tests/test_transport/test_forwarding_operators.py
+++ b/tests/test_transport/test_forwarding_operators.py
@@ -94,7 +94,7 @@
     # second one answered. Both must be in the record, with why each was taken
     # and what was passed over for it.
     subject = Subject([fakes.LOST_ANSWER, fakes.reply(delay=0.2)])
-    await subject.router.ask(x_request_id='slow-1')
+    await subject.router.send_request(x_request_id='slow-1')
     status, found = await subject.call('GET', '/v1/decisions/slow-1')
     assert status == 200
     first, second = found['attempts']
@@ -115,7 +115,7 @@
 
 
 async def test_decision_never_shows_a_credential(subject, autojump_clock):
-    await subject.router.ask(x_request_id='r-1', x_more='kept')
+    await subject.router.send_request(x_request_id='r-1', x_more='kept')
     _, found = await subject.call('GET', '/v1/decisions/r-1')
     assert fakes.KEY not in orjson.dumps(found).decode()
     assert found['headers']['x-more'] == 'kept'
@@ -132,7 +132,7 @@
 async def test_decisions_can_be_told_apart_by_outcome(
     subject, autojump_clock, fields, outcome, error
 ):
-    await subject.router.ask(x_request_id='r-1', **fields)
+    await subject.router.send_request(x_request_id='r-1', **fields)
     _, found = await subject.call('GET', f'/v1/decisions?outcome={outcome}')
     assert [one['id'] for one in found] == ['r-1']
     assert found[0]['error'] == error
@@ -143,7 +143,7 @@
 ):
     once = fakes.rule(attempts=2)
     subject = Subject([fakes.LOST_ANSWER], (once,))
-    await subject.router.ask(x_request_id='r-1')
+    await subject.router.send_request(x_request_id='r-1')
     _, found = await subject.call('GET', '/v1/decisions/r-1')
     assert found['outcome'] == 'unknown'
     assert len(found['attempts']) == 1
@@ -156,7 +156,7 @@
     found = await explained(subject, headers=headers)
     assert found['rule'] == 'chat'
     assert found['revision'] == 7
-    await subject.router.ask(x_prompt_parts=PARTS)
+    await subject.router.send_request(x_prompt_parts=PARTS)
     (taken, _), *_ = subject.router.exchanges.sent
     assert found['verdict'].startswith(f'{taken} would be taken')
     verdicts = {one['upstream']: one['verdict'] for one in found['candidates']}
@@ -201,7 +201,7 @@
 
 
 async def test_status_lists_upstreams_and_rules(subject, autojump_clock):
-    await subject.router.ask()
+    await subject.router.send_request()
     members = subject.peers.members
     members.near.note('127.0.0.3')
     members.learn('sala-b', '127.0.0.4', 30.0)
