--- a/lavenderbend/coordination/forwarding/attempts.py
+++ b/lavenderbend/coordination/forwarding/attempts.py
@@ -238,11 +238,11 @@
             # The caller already has the head of the resumed stream. A second
             # head would reach it as bytes of the body.
             raise errors.UpstreamError(
-                f'upstream answered {head.status} to a resumed stream'
+                f'answered {head.status} to a resumed stream'
             )
         if failed and waiting.may_repeat():
             ticket.fallback = tickets.WholeAnswer(head, body)
-            raise errors.UpstreamError(f'upstream answered {head.status}')
+            raise errors.UpstreamError(f'answered {head.status}')
         await answer.send_whole(head.status, head.headers, body)
 
     def note_failure(
@@ -314,11 +314,9 @@
             await read_body(exchange, waiting)
         except errors.UpstreamBroke as exc:
             raise errors.UpstreamRefused(
-                f'upstream answered {head.status}, then: {exc}'
+                f'answered {head.status}, then: {exc}'
             ) from exc
-        raise errors.UpstreamRefused(
-            f'upstream answered {head.status}: request not run'
-        )
+        raise errors.UpstreamRefused(f'answered {head.status}, not run')
 
     def check_answer(self, head: interfaces.AnswerHead) -> None:
         """Checks that a success is signed and not encoded.
--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -48,9 +48,9 @@
     return sorted(upstream.instance for upstream in node.directory.of('chat'))
 
 
-@pytest.mark.parametrize('says_so', [True, False])
+@pytest.mark.parametrize('with_leaving_entry', [True, False])
 async def test_router_with_slow_reads_learns_which_upstreams_left(
-    fleet, autojump_clock, says_so
+    fleet, autojump_clock, with_leaving_entry
 ):
     # Guards against a router with slow reads that still sends to an upstream
     # that all other routers know to have left.
@@ -60,7 +60,7 @@
     await put_versions(fleet, *both, seconds=2.0)
     revision = fleet.content.revision + 1
     leaving = fakes.upstream('e1', leaving=True, revision=revision)
-    left = [leaving, both[1]] if says_so else [both[1]]
+    left = [leaving, both[1]] if with_leaving_entry else [both[1]]
     await put_versions(fleet, *left, seconds=LEAVE_SECONDS)
     assert names(node) == ['e2']
 
@@ -216,10 +216,10 @@
     fleet, autojump_clock
 ):
     # Guards against each router learning it only by a request of its own.
-    router = fleet.routers[HOSTS[0]]
+    first_router = fleet.routers[HOSTS[0]]
     for host in HOSTS:
         fleet.isolate_from_store(host)
-    router.departures.note_announcement('e1')
+    first_router.departures.note_announcement('e1')
     await trio.sleep(1.0)
     for router in fleet.routers.values():
         assert names(router) == ['e2']
