--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -56,7 +56,7 @@
     Attributes:
         resolver: Finds the rule and the customer of a request.
         chooser: Ranks the upstreams of a service.
-        placing: Chooses the upstream of each attempt.
+        reserving_chooser: Chooses the upstream of each attempt.
         attempts: Sends a request to one upstream.
         budget: Limits retries.
         decisions: Records of decisions that operators can read, None where
@@ -68,13 +68,13 @@
     def __init__(
         self,
         resolver: request_resolver.RequestResolver,
-        placing: placing_module.Placing,
+        reserving_chooser: placing_module.Placing,
         attempts: attempts_module.Attempts,
         budget: budget_module.RepeatBudget,
     ) -> None:
         self.resolver = resolver
-        self.placing = placing
-        self.chooser = placing.chooser
+        self.reserving_chooser = reserving_chooser
+        self.chooser = reserving_chooser.chooser
         self.attempts = attempts
         self.budget = budget
         self.decisions: decisions_module.DecisionStore | None = None
@@ -258,7 +258,7 @@
         self, ticket: tickets.Ticket
     ) -> forwarding.Upstream | None:
         """Returns the upstream of the next attempt, None if there is none."""
-        choice = await self.placing.choose(ticket)
+        choice = await self.reserving_chooser.choose(ticket)
         ticket.retry_after_seconds = choice.wanted_in
         if choice.upstream is None:
             return None
--- a/lavenderbend/coordination/forwarding/request_resolver.py
+++ b/lavenderbend/coordination/forwarding/request_resolver.py
@@ -225,7 +225,7 @@
             id=request_id,
             request=request,
             rule=rule,
-            service=pool_of(then, request_id),
+            service=weighted_pool(then, request_id),
             customer='' if customer is None else customer.name,
             rank=rank,
             deadline=self.caller_deadline(request, then.timeout),
@@ -238,7 +238,7 @@
         )
 
 
-def pool_of(then: forwarding.Forward, request_id: str) -> str:
+def weighted_pool(then: forwarding.Forward, request_id: str) -> str:
     """Returns the pool of a request, chosen by the weights of its rule.
 
     The choice depends only on the request id.
--- a/tests/forwarding_fakes.py
+++ b/tests/forwarding_fakes.py
@@ -97,7 +97,7 @@
 
     def __init__(self, content=None):
         self.content = content
-        self.known = {}
+        self.snapshots_by_digest = {}
         self.delay = 0.004
         self.error = None
         self.reads = 0
@@ -110,7 +110,7 @@
         await trio.sleep(self.delay)
         if self.error is not None:
             raise self.error
-        self.known[self.content.digest] = self.content
+        self.snapshots_by_digest[self.content.digest] = self.content
         return self.content.raw
 
     async def newest_revision(self):
@@ -120,10 +120,10 @@
         return None
 
     def decode(self, raw):
-        if raw.digest not in self.known:
+        if raw.digest not in self.snapshots_by_digest:
             raise errors.CodecError('unknown content')
         return attrs.evolve(
-            self.known[raw.digest], revision=raw.revision, raw=raw
+            self.snapshots_by_digest[raw.digest], revision=raw.revision, raw=raw
         )
 
 
@@ -177,15 +177,15 @@
         self.write_pending = False
 
 
-def reply(status=200, body=(b'done',), delay=0.0, then=None, **headers):
+def reply(status=200, body=(b'done',), delay=0.0, error=None, **headers):
     """Returns how an upstream responds to one request.
 
-    `then` is raised after the body. A float among the parts of the body is a
+    `error` is raised after the body. A float among the parts of the body is a
     pause in seconds.
     """
     named = {'x-signature': 'sig', **headers}
     raw = tuple((k.encode(), v.encode()) for k, v in named.items() if v)
-    return Reply(interfaces.AnswerHead(status, raw), tuple(body), delay, then)
+    return Reply(interfaces.AnswerHead(status, raw), tuple(body), delay, error)
 
 
 @attrs.frozen
@@ -193,7 +193,7 @@
     head: interfaces.AnswerHead
     body: tuple
     delay: float
-    then: Exception | None
+    error: Exception | None
 
 
 LOST_ANSWER = errors.UpstreamLost('reset')
@@ -226,8 +226,8 @@
             else:
                 await trio.lowlevel.checkpoint()
                 return part
-        if self.step.then is not None:
-            raise self.step.then
+        if self.step.error is not None:
+            raise self.step.error
         self.ended = True
         return None
 
@@ -271,7 +271,7 @@
     """A forwarding router assembled over fakes.
 
     Attributes:
-        learned: Facts that the router applied, in order.
+        applied_facts: Facts that the router applied, in order.
     """
 
     def __init__(self, content, exchanges, fleet=1, **follow):
@@ -287,8 +287,8 @@
         self.health = health.Health()
         self.loads = loads.Loads()
         self.exchanges = exchanges
-        self.learned = []
-        shared_facts = facts.Facts('10.0.0.1', self.learn)
+        self.applied_facts = []
+        shared_facts = facts.Facts('10.0.0.1', self.apply_fact)
         self.crashes = crashes.CrashDetector(exchanges.accepts, shared_facts)
         self.departures = departures.Departures(
             self.snapshots, self.directory, shared_facts
@@ -314,12 +314,12 @@
             self.loads,
             2.0,
         )
-        self.placing = placing.Placing(
+        self.reserving_chooser = placing.Placing(
             self.chooser, None, self.shared_loads.instances, lambda: 1
         )
         self.forwarder = forwarder.Forwarder(
             self.resolver,
-            self.placing,
+            self.reserving_chooser,
             attempts.Attempts(
                 exchanges,
                 self.directory,
@@ -338,8 +338,8 @@
         )
         self.snapshots.accept(content, self.clock())
 
-    def learn(self, fact):
-        self.learned.append(fact)
+    def apply_fact(self, fact):
+        self.applied_facts.append(fact)
         if fact.kind == departures.LEAVING:
             self.departures.apply_announcement(fact)
         elif fact.kind != departures.LEFT:
--- a/tests/test_coordination/test_forwarding_half_done.py
+++ b/tests/test_coordination/test_forwarding_half_done.py
@@ -53,7 +53,7 @@
     # stream and breaks off, and no attempt is left. Sending the fallback would
     # put a second response into the caller's stream.
     rule = fakes.rule(streaming=True, resumable=True, attempts=2)
-    broken = fakes.reply(200, (b'id: 1\ndata: x\n\n',), then=LOST)
+    broken = fakes.reply(200, (b'id: 1\ndata: x\n\n',), error=LOST)
     router = make_router(rule, fakes.reply(500, (b'bad',)), broken)
     answer, error = await router.send_request()
     assert len(router.exchanges.sent) == 2
@@ -82,7 +82,7 @@
     # is allowed, but no upstream is left. The caller was wrongly told that its
     # request had not run.
     rule = fakes.rule(idempotent=True, attempts=2)
-    router = make_router(rule, fakes.reply(delay=0.2, then=LOST))
+    router = make_router(rule, fakes.reply(delay=0.2, error=LOST))
     answer, error = await send_while_service_empties(router)
     assert not answer.started
     assert isinstance(error, errors.OutcomeUnknown)
@@ -239,7 +239,7 @@
     snapshots = router.snapshots
     await trio.sleep(10.0)
     old = fakes.snapshot(11, fakes.table(11), upstream_of('e1'))
-    router.source.known[old.digest] = old
+    router.source.snapshots_by_digest[old.digest] = old
     shared = shared_freshness.SharedFreshness(
         5, snapshots, OldSnapshotLink(old)
     )
@@ -286,7 +286,7 @@
     # One response was counted as two failures, so that an upstream was avoided
     # after half the intended number.
     rule = fakes.rule(streaming=True, resumable=True, attempts=2)
-    truncated = fakes.reply(body=(b'id: 1\ndata: a\n\n',), then=LOST)
+    truncated = fakes.reply(body=(b'id: 1\ndata: a\n\n',), error=LOST)
     router = make_router(rule, truncated, fakes.reply(500), names=('e1', 'e2'))
     await router.send_request()
     second = router.exchanges.names()[1]
@@ -303,7 +303,7 @@
     router = make_router(
         rule,
         fakes.reply(body=(event(1), b'data: q\n\n' + event(9))),
-        fakes.reply(body=(event(2),), then=LOST),
+        fakes.reply(body=(event(2),), error=LOST),
         fakes.reply(body=(event(3),)),
         names=NAMES[:3],
     )
@@ -322,7 +322,7 @@
     # Both events come in one read; the number belongs only to the first.
     rule = fakes.rule(streaming=True, resumable=True, attempts=2)
     both = event(1) + b'data: q\n\n'
-    router = make_router(rule, fakes.reply(body=(both,), then=LOST))
+    router = make_router(rule, fakes.reply(body=(both,), error=LOST))
     answer, error = await router.send_request()
     assert isinstance(error, errors.OutcomeUnknown)
     assert answer.body == both
--- a/tests/test_coordination/test_forwarding_lines.py
+++ b/tests/test_coordination/test_forwarding_lines.py
@@ -181,7 +181,7 @@
 STREAM = fakes.rule(streaming=True, resumable=True, attempts=2)
 ENDS = {
     'broken off': (
-        fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER),
+        fakes.reply(body=(event(1),), error=fakes.LOST_ANSWER),
         ('UpstreamLost', 'upstream', 'upstream', 'reset'),
     ),
     'silent': (
@@ -230,7 +230,7 @@
     autojump_clock, lines
 ):
     truncated = fakes.reply(
-        body=(event(1) + b'id: 2\nda',), then=fakes.LOST_ANSWER
+        body=(event(1) + b'id: 2\nda',), error=fakes.LOST_ANSWER
     )
     rest = fakes.reply(body=(event(2),))
     line = await ended_attempt(lines, make_router([truncated, rest], STREAM))
@@ -244,7 +244,7 @@
     # The connections of both are reset at the same moment.
     answer = WritingAnswer()
     answer.disconnected = True
-    truncated = fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER)
+    truncated = fakes.reply(body=(event(1),), error=fakes.LOST_ANSWER)
     line = await ended_attempt(lines, make_router([truncated], STREAM), answer)
     assert line['ended_by'] == 'upstream'
 
@@ -262,7 +262,7 @@
 async def test_unfinished_bytes_are_counted_for_each_attempt(
     autojump_clock, lines
 ):
-    truncated = fakes.reply(body=(event(1), b'id: 2'), then=fakes.LOST_ANSWER)
+    truncated = fakes.reply(body=(event(1), b'id: 2'), error=fakes.LOST_ANSWER)
     rule = fakes.rule(streaming=True, resumable=True, attempts=3)
     await ended_attempt(
         lines, make_router([truncated, fakes.LOST_ANSWER], rule)
--- a/tests/test_coordination/test_forwarding_offers.py
+++ b/tests/test_coordination/test_forwarding_offers.py
@@ -44,7 +44,7 @@
 
     def put(self, content):
         for node in self.routers.values():
-            node.source.known[content.digest] = content
+            node.source.snapshots_by_digest[content.digest] = content
             node.source.put(content)
 
     def between_zones(self):
--- a/tests/test_coordination/test_forwarding_path.py
+++ b/tests/test_coordination/test_forwarding_path.py
@@ -264,7 +264,7 @@
     [
         fakes.reply(**{'x-signature': ''}),
         fakes.reply(**{'content-encoding': 'gzip'}),
-        fakes.reply(body=(b'half',), then=LOST),
+        fakes.reply(body=(b'half',), error=LOST),
     ],
 )
 async def test_invalid_success_never_reaches_a_caller(autojump_clock, bad):
@@ -313,7 +313,7 @@
 async def test_broken_stream_is_resumed_at_another_upstream(autojump_clock):
     # The first upstream breaks off within its third event. The caller must get
     # one stream with each event once and the headers of the first upstream.
-    first = fakes.reply(body=(event(1) + event(2), b'id: 3\nda'), then=LOST)
+    first = fakes.reply(body=(event(1) + event(2), b'id: 3\nda'), error=LOST)
     second = fakes.reply(body=(event(3), event(4)), **{'x-signature': 'other'})
     exchanges = both(first, second)
     answer, error = await make_router(exchanges, RESUMABLE).send_request()
@@ -337,7 +337,7 @@
 async def test_resumed_stream_with_a_missing_event_is_not_passed_on(
     autojump_clock,
 ):
-    first = fakes.reply(body=(event(1),), then=LOST)
+    first = fakes.reply(body=(event(1),), error=LOST)
     exchanges = both(first, fakes.reply(body=(event(3),)))
     answer, error = await make_router(exchanges, RESUMABLE).send_request()
     assert answer.body == event(1)
@@ -346,7 +346,7 @@
 
 
 async def test_stream_that_cannot_be_resumed_ends_broken(autojump_clock):
-    first = fakes.reply(body=(event(1),), then=LOST)
+    first = fakes.reply(body=(event(1),), error=LOST)
     exchanges = both(first, fakes.reply(body=(event(1), event(2))))
     answer, error = await make_router(exchanges, STREAM_ONCE).send_request()
     assert len(exchanges.sent) == 1
@@ -464,8 +464,8 @@
     assert isinstance(error, errors.RequestQuarantined)
     assert error.status == 503
     # One fact for each crash is shared with the other routers.
-    assert [fact.kind for fact in router.learned] == [crashes.DEATH] * 2
-    assert len({fact.source for fact in router.learned}) == 2
+    assert [fact.kind for fact in router.applied_facts] == [crashes.DEATH] * 2
+    assert len({fact.source for fact in router.applied_facts}) == 2
 
 
 async def test_request_that_succeeds_between_crashes_is_not_quarantined(
@@ -483,7 +483,7 @@
         answer, error = await router.send_request()
         assert (answer.status, error) == (200, None)
         assert facts.of(crashes.DEATH, subject) == []
-    kinds = [fact.kind for fact in router.learned]
+    kinds = [fact.kind for fact in router.applied_facts]
     assert kinds == [crashes.DEATH, crashes.CLEARED] * 2
 
 
--- a/tests/test_coordination/test_forwarding_peers.py
+++ b/tests/test_coordination/test_forwarding_peers.py
@@ -45,7 +45,7 @@
     def put(self, content):
         self.content = content
         for node in self.routers.values():
-            node.source.known[content.digest] = content
+            node.source.snapshots_by_digest[content.digest] = content
             node.source.put(content)
 
     def reads(self):
@@ -182,7 +182,9 @@
         fleet.isolate_from_store(host)
     node = fleet.add('10.0.0.9')
     node.source.error = errors.KeyValueUnavailable('down')
-    node.source.known.update(fleet.routers[HOSTS[0]].source.known)
+    node.source.snapshots_by_digest.update(
+        fleet.routers[HOSTS[0]].source.snapshots_by_digest
+    )
     await trio.sleep(1.5)
     assert node.snapshots.table.version == 1
     assert node.snapshots.may_serve_credentials()
--- a/tests/test_coordination/test_forwarding_silence.py
+++ b/tests/test_coordination/test_forwarding_silence.py
@@ -240,7 +240,7 @@
     # whole, in the midst of the stream.
     exchanges = fakes.Exchanges(e1=(), e2=(), e3=())
     shared = [
-        fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER),
+        fakes.reply(body=(event(1),), error=fakes.LOST_ANSWER),
         fakes.reply(500),
     ]
     exchanges.steps = {'e1': shared, 'e2': shared, 'e3': shared}
--- a/tests/test_transport/test_answer_path_fuzz.py
+++ b/tests/test_transport/test_answer_path_fuzz.py
@@ -254,7 +254,7 @@
     # fall silent so that waits are given up while bytes arrive. Whatever a
     # caller reads as complete must be the whole answer to its own request.
     monkeypatch.setattr(attempts, 'MIN_FIRST_BYTE_SECONDS', 0.05)
-    monkeypatch.setattr(attempts, 'MIN_SILENT_SECONDS', 0.05)
+    monkeypatch.setattr(attempts, 'MIN_STALL_SECONDS', 0.05)
     monkeypatch.setattr(silence, 'CHECK_SECONDS', 0.005)
     monkeypatch.setattr(silence, 'DARK_SECONDS', 0.04)
     rng = random.Random(seed)
