--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -262,15 +262,18 @@
     holder = next(
         one for one in chats.placing.instances.values() if one != place
     )
-    first.taken.reservations.note(
-        first.taken.place, HELD, first.taken.chat, hashing.short_id(holder)
+    first.reservation.reservations.note(
+        first.reservation.place,
+        HELD,
+        first.taken.chat,
+        hashing.short_id(holder),
     )
-    first.taken.ended()
+    first.reservation.ended()
     await trio.sleep(0.5)
     again = ticket(shared_tokens=tokens)
     found = await chats.placing.choose(again)
     assert found.upstream.instance == (holder if goes_back else place)
-    assert again.taken.holders == [holder]
+    assert again.reservation.holders == [holder]
 
 
 async def test_report_over_the_bound_counts_against_a_new_owner(
@@ -302,8 +305,8 @@
     chats.chooser.directory.misplaced.add(place)
     await trio.sleep(0.2)
     assert found[0].upstream.instance != place
-    if subject.taken is not None:
-        assert subject.taken.reservation.instance != place
+    if subject.reservation is not None:
+        assert subject.reservation.reservation.instance != place
 
 
 async def test_nobody_is_asked_in_a_small_fleet(nursery, autojump_clock):
@@ -311,7 +314,7 @@
     chats = prompts.Chats(fleet.routers[0], by_owners=True)
     subject = ticket()
     await chats.placing.choose(subject)
-    assert subject.taken is None
+    assert subject.reservation is None
 
 
 @pytest.mark.parametrize('size', [30, 90])
