--- a/bench/fleet/world.py
+++ b/bench/fleet/world.py
@@ -160,7 +160,7 @@
             link,
             rng,
         )
-        self.crashes = crashes.Crashes(lambda one: True, self.peers.facts)
+        self.crashes = crashes.CrashDetector(lambda one: True, self.peers.facts)
         self.suspicions = suspicions.Suspicions(
             self.peers.facts, self.peers.fleet_size
         )
@@ -169,7 +169,9 @@
         self.departures = departures.Departures(
             self.snapshots, self.directory, self.peers.facts
         )
-        self.peers.fact_callbacks[departures.LEFT] = self.departures.learn
+        self.peers.fact_callbacks[departures.LEFT] = (
+            self.departures.apply_departure
+        )
         self.budget = budget.RetryBudget(REPEATS, self.peers.budget_divisor)
 
     def extra(self) -> float:
--- a/lavenderbend/coordination/forwarding/departures.py
+++ b/lavenderbend/coordination/forwarding/departures.py
@@ -1,4 +1,4 @@
-"""Upstreams that leave, by the store or by their own answers, told to all."""
+"""Shares with all routers which upstreams leave."""
 
 from __future__ import annotations
 
@@ -14,112 +14,118 @@
     from collections.abc import Mapping
 
     from lavenderbend.coordination.forwarding import directory as directories
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.state import forwarding
 
 LEFT = 'left'
 LEAVING = 'leaving'
-# by then each router has a snapshot that shows it, or is cut off from all
-MOST_SECONDS = 30.0
+# After this time each router has a snapshot that shows the departure, unless it
+# is cut off from the store and from all routers.
+FACT_SECONDS = 30.0
 MAX_REVISION_DIGITS = 20
 LIVE = upstreams.VmState.LIVE
 
 
 @facts_module.FACT_KINDS.register(LEFT)
-class SeenToLeave(facts_module.FactKind):
-    """An upstream that leaves; the source is the revision that shows it."""
+class LeftFact(facts_module.FactKind):
+    """An upstream that leaves; the source is the store revision showing it."""
 
-    max_seconds = MOST_SECONDS
+    max_seconds = FACT_SECONDS
     sent_to_starting = False
 
 
 @facts_module.FACT_KINDS.register(LEAVING)
-class SaidToLeave(facts_module.FactKind):
-    """An upstream whose answers say that it leaves."""
+class LeavingFact(facts_module.FactKind):
+    """An upstream whose responses announce that it leaves."""
 
-    max_seconds = MOST_SECONDS
+    max_seconds = FACT_SECONDS
 
 
 class Departures:
-    """Tells other routers which upstreams leave, and heeds what they tell.
+    """Shares which upstreams leave, and applies what other routers share.
 
-    What an upstream says in the store comes with the configuration, in one
-    snapshot. Over a narrow link a snapshot of many routes takes longer than
-    an upstream that leaves goes on; what is told here fits a datagram.
+    The store's entry of an upstream comes with the configuration, in one
+    snapshot. Over a slow link a snapshot with many routes can take longer
+    than a leaving upstream keeps running. The facts sent here fit into a
+    datagram.
 
     Attributes:
-        followed: The snapshots of this router.
-        directory: Learns what others tell.
-        facts: What is told.
-        before: Upstreams of the latest snapshot.
+        snapshots: The snapshots of this router.
+        directory: The upstreams to which departures are applied.
+        facts: Facts exchanged with other routers.
+        previous: Upstreams of the latest snapshot.
     """
 
     def __init__(
         self,
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         directory: directories.Directory,
         facts: facts_module.Facts,
     ) -> None:
-        self.followed = followed
+        self.snapshots = snapshots
         self.directory = directory
         self.facts = facts
-        self.before: Mapping[str, forwarding.Upstream] = {}
-        followed.on_change.append(self.compare)
+        self.previous: Mapping[str, forwarding.Upstream] = {}
+        snapshots.on_change.append(self.share_departures)
 
-    def compare(self, snapshot: forwarding.Snapshot) -> None:
-        """Tells which upstreams a new snapshot shows to leave."""
-        for instance, upstream in self.before.items():
+    def share_departures(self, snapshot: forwarding.Snapshot) -> None:
+        """Shares the upstreams that leave according to a new snapshot."""
+        for instance, upstream in self.previous.items():
             if upstream.vm.state is not LIVE:
                 continue
             later = snapshot.upstreams.get(instance)
-            if later is None and instance not in self.followed.retained:
-                self.tell(upstream, snapshot.revision)
+            if later is None and instance not in self.snapshots.retained:
+                self.share_departure(upstream, snapshot.revision)
             elif later is not None and later.vm.state is not LIVE:
-                self.tell(upstream, later.revision)
-        self.before = snapshot.upstreams
+                self.share_departure(upstream, later.revision)
+        self.previous = snapshot.upstreams
 
-    def tell(self, upstream: forwarding.Upstream, revision: int) -> None:
-        """Tells that an upstream leaves, unless another router has."""
-        told = self.facts.current(LEFT, upstream.instance)
-        if any(revision_of(fact) > upstream.revision for fact in told):
+    def share_departure(
+        self, upstream: forwarding.Upstream, revision: int
+    ) -> None:
+        """Shares that an upstream leaves, unless another router has."""
+        shared = self.facts.current(LEFT, upstream.instance)
+        if any(departure_revision(fact) > upstream.revision for fact in shared):
             return
-        self.facts.add(LEFT, upstream.instance, str(revision), MOST_SECONDS)
+        self.facts.add(LEFT, upstream.instance, str(revision), FACT_SECONDS)
 
-    def note_word(self, instance: str) -> None:
-        """Notes that an upstream says in an answer that it leaves."""
-        if instance in self.directory.leaving.said:
+    def note_announcement(self, instance: str) -> None:
+        """Shares that a response announced that its upstream leaves."""
+        if instance in self.directory.leaving.announced:
             return
-        # one source for all routers that hear it: they tell the same fact
-        self.facts.add(LEAVING, instance, LEAVING, MOST_SECONDS)
+        # All routers use the same source, so that they share one fact.
+        self.facts.add(LEAVING, instance, LEAVING, FACT_SECONDS)
 
-    def learn_word(self, fact: facts_module.Fact) -> None:
-        """Sends nothing more to an upstream that says it leaves."""
+    def apply_announcement(self, fact: facts_module.Fact) -> None:
+        """Stops sending to an upstream that announced that it leaves."""
         if not self.directory.note_leaving_announced(fact.subject):
             return
         logs.change(
             'upstream_leaving',
             upstream=fact.subject,
             told_after=round(trio.current_time() - fact.found_at, 3),
-            age=round(self.followed.age, 3),
+            age=round(self.snapshots.age, 3),
         )
 
-    def learn(self, fact: facts_module.Fact) -> None:
-        """Sends nothing more to an upstream that another router saw leave."""
-        revision = revision_of(fact)
+    def apply_departure(self, fact: facts_module.Fact) -> None:
+        """Stops sending to an upstream that another router saw leave."""
+        revision = departure_revision(fact)
         if not self.directory.note_leaving_in_store(fact.subject, revision):
             return
-        current = self.followed.current
+        current = self.snapshots.current
         logs.change(
             'upstream_left',
             upstream=fact.subject,
             revision=revision,
             known_revision=0 if current is None else current.revision,
-            age=round(self.followed.age, 3),
+            age=round(self.snapshots.age, 3),
         )
 
 
-def revision_of(fact: facts_module.Fact) -> int:
-    """Returns the revision that shows a departure, -1 if none is named."""
+def departure_revision(fact: facts_module.Fact) -> int:
+    """Returns the revision that shows a departure, -1 if the fact has none."""
     text = fact.source
     if len(text) > MAX_REVISION_DIGITS or not text.isdecimal():
         return -1
--- a/lavenderbend/coordination/forwarding/directory.py
+++ b/lavenderbend/coordination/forwarding/directory.py
@@ -74,7 +74,7 @@
     def __init__(self, followed: snapshots.Snapshots) -> None:
         self.followed = followed
         self.replaced: set[str] = set()
-        self.leaving = leaving.Leaving()
+        self.leaving = leaving.LeavingUpstreams()
         self.by_service: dict[str, Candidates] = {}
         self.changes: dict[str, list[FormerUpstreams]] = {}
         followed.on_change.append(self.apply_snapshot)
@@ -86,7 +86,7 @@
         before = self.by_service
         by_service: dict[str, list[forwarding.Upstream]] = {}
         for upstream in snapshot.upstreams.values():
-            if self.leaving.stays(upstream):
+            if self.leaving.is_staying(upstream):
                 by_service.setdefault(upstream.vm.service, []).append(upstream)
         self.by_service = {
             service: make_candidates(upstreams)
@@ -119,9 +119,9 @@
         Returns:
             Whether this router did not know it yet.
         """
-        if instance in self.leaving.said:
+        if instance in self.leaving.announced:
             return False
-        self.leaving.note_said(instance)
+        self.leaving.note_announced(instance)
         return self.drop(instance)
 
     def drop(self, instance: str) -> bool:
@@ -130,7 +130,7 @@
             return True
         for service, before in self.by_service.items():
             upstream = before.by_name.get(instance)
-            if upstream is not None and not self.leaving.stays(upstream):
+            if upstream is not None and not self.leaving.is_staying(upstream):
                 self.by_service[service] = make_candidates(
                     candidate
                     for candidate in before.by_name.values()
@@ -208,5 +208,5 @@
             for upstream, until in self.followed.retained.values()
             if until > now
             and upstream.vm.service == service
-            and self.leaving.stays(upstream)
+            and self.leaving.is_staying(upstream)
         ]
--- a/lavenderbend/coordination/forwarding/attempt_ends.py
+++ b/lavenderbend/coordination/forwarding/failed_attempts.py
@@ -1,4 +1,4 @@
-"""Lines and counts of attempts that gave the caller no whole answer."""
+"""Log lines and metrics of attempts without a complete response."""
 
 from __future__ import annotations
 
@@ -21,28 +21,41 @@
 DEADLINE = 'the deadline came'
 STOPPED = 'the router stopped'
 
-ENDS = metrics.counter(
+FAILED_ATTEMPTS = metrics.counter(
     'lavenderbend_forward_attempts_failed_total',
     'Attempts that gave no whole answer, by who ended them, how, and whether '
     'events that had been read were not yet written to the caller.',
 )
 
 
-def note(
+def log_failure(
     ticket: tickets.Ticket,
     upstream: forwarding.Upstream,
     answer: interfaces.CallerAnswer,
     waiting: silence.UpstreamWait,
     cause: BaseException,
 ) -> None:
-    """Writes how an attempt ended, and how far it had come."""
-    cutter = ticket.cutter
+    """Logs and counts a failed attempt: its cause and its progress.
+
+    Args:
+        ticket: The request.
+        upstream: The upstream that it was sent to.
+        answer: The response to the caller.
+        waiting: The wait for the upstream.
+        cause: The error or cancellation that ended the attempt.
+    """
+    splitter = ticket.splitter
     by = ended_by(answer, cause)
-    # a nursery on the way may have wrapped a cancellation
+    # A nursery may have wrapped the cancellation in an exception group.
     cancelled = not isinstance(cause, Exception)
     kind = CANCELLED if cancelled else type(cause).__name__
-    unwritten = answer.mid_write or cutter.read != cutter.written
-    ENDS.inc({'by': by.value, 'kind': kind, 'unwritten': str(int(unwritten))})
+    unwritten = (
+        answer.write_pending
+        or splitter.read_position != splitter.written_position
+    )
+    FAILED_ATTEMPTS.inc(
+        {'by': by.value, 'kind': kind, 'unwritten': str(int(unwritten))}
+    )
     logs.change(
         'attempt_failed',
         request=ticket.id,
@@ -52,9 +65,9 @@
         ended_by=by.value,
         may_have_run=ticket.may_have_run,
         began=answer.started,
-        last_event=cutter.read.number,
-        written_event=cutter.written.number,
-        unfinished_bytes=len(cutter.rest),
+        last_event=splitter.read_position.number,
+        written_event=splitter.written_position.number,
+        unfinished_bytes=len(splitter.partial_event),
         waited_for=waited_for(answer, waiting),
         waited=round(trio.current_time() - waiting.since, 4),
     )
@@ -66,7 +79,7 @@
     """Returns who ended the attempt."""
     if isinstance(cause, errors.UpstreamError):
         return cause.ended_by
-    if answer.gone:
+    if answer.disconnected:
         return errors.EndedBy.CALLER
     return errors.EndedBy.ROUTER
 
@@ -74,8 +87,8 @@
 def waited_for(
     answer: interfaces.CallerAnswer, waiting: silence.UpstreamWait
 ) -> str:
-    """Returns who was waited for, empty if it was nobody."""
-    if answer.mid_write:
+    """Returns which side the attempt was waiting for, empty for neither."""
+    if answer.write_pending:
         return 'caller'
     return 'upstream' if waiting.reading else ''
 
@@ -83,7 +96,7 @@
 def cancel_cause(
     ticket: tickets.Ticket, answer: interfaces.CallerAnswer
 ) -> str:
-    """Returns why an attempt was cancelled, in words."""
-    if answer.gone:
+    """Returns the log text for the cause of a cancellation."""
+    if answer.disconnected:
         return CALLER_LEFT
-    return DEADLINE if ticket.left <= 0 else STOPPED
+    return DEADLINE if ticket.seconds_left <= 0 else STOPPED
--- a/lavenderbend/coordination/forwarding/forwarder.py
+++ b/lavenderbend/coordination/forwarding/forwarder.py
@@ -1,4 +1,4 @@
-"""A request's way from its caller to upstreams and back."""
+"""Forwards requests from callers to upstreams, with retries."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination.forwarding import attempts as attempts_module
-from lavenderbend.coordination.forwarding import entry as entry_module
-from lavenderbend.coordination.forwarding import records
+from lavenderbend.coordination.forwarding import decision_records
+from lavenderbend.coordination.forwarding import request_resolver
 from lavenderbend.observe import logs
 from lavenderbend.observe import metrics
 from lavenderbend.state import decisions as decisions_module
@@ -19,29 +19,33 @@
     from collections.abc import Iterable
 
     from lavenderbend.coordination.forwarding import budget as budget_module
-    from lavenderbend.coordination.forwarding import hops
     from lavenderbend.coordination.forwarding import interfaces
-    from lavenderbend.coordination.forwarding import reserving_chooser
+    from lavenderbend.coordination.forwarding import request_spans
+    from lavenderbend.coordination.forwarding import (
+        reserving_chooser as reserving_chooser_module,
+    )
     from lavenderbend.coordination.forwarding import tickets
     from lavenderbend.state import forwarding
 
-# upstreams that no connection is to be had to cost half a second each; a caller
-# is told while it has time to go elsewhere
-MAX_UNREACHABLE_SLOW = 4
-SLOW_SECONDS = 2.0
-# those of a VM that lives refuse at once
+# A connection that times out costs half a second. After this many unreachable
+# upstreams and seconds the caller is refused, while it has time to try another
+# router.
+MAX_SLOW_UNREACHABLE = 4
+SLOW_CONNECT_SECONDS = 2.0
+# A running VM without the process refuses connections at once, so that more
+# upstreams can be tried.
 MAX_UNREACHABLE = 16
-# other processes at the addresses of upstreams that are gone
+# Attempts answered by another process at the address of a former upstream.
 MAX_REPLACED = 4
-# for which a repeat may be held before it is sent: two connects that time out
-HOLD_SECONDS = 1.0
+# Time that a reserved retry may stay unsent: two connects that time out.
+RETRY_HOLD_SECONDS = 1.0
 
 SECONDS_BUCKETS = (0.025, 0.05, 0.1, 0.125, 0.25, 0.5, 0.6, 1.0, 2.0, 5.0, 15.0)
-ENDED = metrics.counter(
+REQUESTS_ENDED = metrics.counter(
     'lavenderbend_forward_requests_total',
     'Requests that ended, by rule and outcome.',
 )
-DURATION = metrics.histogram(
+REQUEST_SECONDS = metrics.histogram(
     'lavenderbend_forward_request_seconds',
     'Time from the first byte of a request to the end of its answer.',
     SECONDS_BUCKETS,
@@ -52,31 +56,31 @@
     """Forwards requests.
 
     Attributes:
-        entry: Finds rule and customer.
-        chooser: Knows the upstreams.
-        placing: Finds upstreams.
-        attempts: Sends to one upstream.
-        budget: Allows repeats.
-        decisions: Keeps what was decided for operators to read back, None
-            where no operators' interface is served.
-        tracer: Makes spans, None where no collector is named.
-        fleet_size: Returns how many routers are known, for the lines.
+        resolver: Finds the rule and the customer of a request.
+        chooser: Ranks the upstreams of a service.
+        reserving_chooser: Chooses the upstream of each attempt.
+        attempts: Sends a request to one upstream.
+        budget: Limits retries.
+        decisions: Records of decisions that operators can read, None where
+            no operators' interface is served.
+        tracer: Makes spans, None where no collector is configured.
+        fleet_size: Returns how many routers are known, for log lines.
     """
 
     def __init__(
         self,
-        entry: entry_module.Entry,
-        placing: reserving_chooser.ReservingChooser,
+        resolver: request_resolver.RequestResolver,
+        reserving_chooser: reserving_chooser_module.ReservingChooser,
         attempts: attempts_module.Attempts,
         budget: budget_module.RetryBudget,
     ) -> None:
-        self.entry = entry
-        self.placing = placing
-        self.chooser = placing.chooser
+        self.resolver = resolver
+        self.reserving_chooser = reserving_chooser
+        self.chooser = reserving_chooser.chooser
         self.attempts = attempts
         self.budget = budget
         self.decisions: decisions_module.DecisionStore | None = None
-        self.tracer: hops.Tracer | None = None
+        self.tracer: request_spans.Tracer | None = None
         self.fleet_size: Callable[[], int] = lambda: 1
 
     async def forward(
@@ -84,35 +88,35 @@
         request: interfaces.CallerRequest,
         answer: interfaces.CallerAnswer,
     ) -> None:
-        """Answers a request.
+        """Forwards a request and sends the response to its caller.
 
         Raises:
-            RequestError: It has no answer from an upstream.
+            RequestError: The request has no response from an upstream.
         """
         ticket = None
-        hop = None
+        span = None
         outcome = 'cancelled'
         detail = ''
         if self.tracer is not None:
-            hop = self.tracer.begin_request(request)
+            span = self.tracer.begin_request(request)
         try:
-            ticket = await self.entry.admit(request)
-            ticket.hop = hop
-            self.note_admitted(ticket)
-            await self.until_deadline(ticket, answer)
-            outcome = records.ANSWERED
+            ticket = await self.resolver.admit(request)
+            ticket.span = span
+            self.log_admitted(ticket)
+            await self.run_until_deadline(ticket, answer)
+            outcome = decision_records.ANSWERED
         except errors.RequestError as exc:
             outcome = exc.kind
             detail = exc.detail
             raise
         finally:
-            self.note_end(request, ticket, answer, outcome, detail)
-            if hop is not None:
-                error = '' if outcome == records.ANSWERED else outcome
-                self.tracer.end_request(hop, ticket, error)
+            self.record_end(request, ticket, answer, outcome, detail)
+            if span is not None:
+                error = '' if outcome == decision_records.ANSWERED else outcome
+                self.tracer.end_request(span, ticket, error)
 
-    def note_admitted(self, ticket: tickets.Ticket) -> None:
-        """Writes what the entry decided, if the request has such lines."""
+    def log_admitted(self, ticket: tickets.Ticket) -> None:
+        """Logs the rule and customer of a request, if it is sampled."""
         ticket.logged = logs.sample_request()
         if not ticket.logged:
             return
@@ -120,16 +124,16 @@
             'request_admitted',
             request=ticket.id,
             rule=ticket.rule.name,
-            version=self.entry.version,
-            age=round(self.entry.followed.age, 3),
+            version=self.resolver.version,
+            age=round(self.resolver.snapshots.age, 3),
             customer=ticket.customer,
             service=ticket.service,
-            chat=ticket.need.chat,
+            chat=ticket.prompt.chat,
             rank=ticket.rank,
-            seconds_left=round(ticket.left, 3),
+            seconds_left=round(ticket.seconds_left, 3),
         )
 
-    def note_end(
+    def record_end(
         self,
         request: interfaces.CallerRequest,
         ticket: tickets.Ticket | None,
@@ -137,33 +141,41 @@
         outcome: str,
         detail: str,
     ) -> None:
-        """Counts a request and writes its line."""
-        if answer.gone:
+        """Counts a request that has ended, logs it and keeps its record."""
+        if answer.disconnected:
             outcome = errors.CallerGone.kind
         seconds = trio.current_time() - request.arrived
-        request_id = request.header(self.entry.headers.request_id) or ''
-        placed = [] if ticket is None else ticket.placed
+        request_id = request.header(self.resolver.headers.request_id) or ''
+        attempts = [] if ticket is None else ticket.attempts
         rule = '' if ticket is None else ticket.rule.name
-        ENDED.inc({'rule': rule, 'outcome': outcome})
-        DURATION.observe({}, seconds)
-        ordinary = outcome == records.ANSWERED and len(placed) == 1
+        REQUESTS_ENDED.inc({'rule': rule, 'outcome': outcome})
+        REQUEST_SECONDS.observe({}, seconds)
+        ordinary = outcome == decision_records.ANSWERED and len(attempts) == 1
         logs.request_ended(
             ordinary and not ticket.logged,
             request=request_id,
             rule=rule,
-            version=self.entry.version,
-            age=round(self.entry.followed.age, 3),
+            version=self.resolver.version,
+            age=round(self.resolver.snapshots.age, 3),
             customer='' if ticket is None else ticket.customer,
             service='' if ticket is None else ticket.service,
-            placed=[f'{one.upstream} {one.reason}' for one in placed],
-            passed_over=passed_over_texts(placed),
-            copied_from=[one.copied_from for one in placed if one.copied_from],
-            sent_to=[] if ticket is None else ticket.used,
+            placed=[
+                f'{attempt.upstream} {attempt.reason}' for attempt in attempts
+            ],
+            passed_over=passed_over_summaries(attempts),
+            copied_from=[
+                attempt.copied_from
+                for attempt in attempts
+                if attempt.copied_from
+            ],
+            sent_to=[] if ticket is None else ticket.sent_to,
             unreachable=[] if ticket is None else ticket.unreachable,
             outcome=outcome,
             detail=detail,
             may_have_run=ticket is not None and ticket.may_have_run,
-            last_event=None if ticket is None else ticket.cutter.read.number,
+            last_event=None
+            if ticket is None
+            else ticket.splitter.read_position.number,
             peers=self.fleet_size(),
             budget_parts=self.budget.divisor(),
             began=answer.started,
@@ -171,48 +183,49 @@
         )
         if self.decisions is not None:
             self.decisions.add(
-                records.decision(
+                decision_records.make_decision(
                     request,
                     request_id,
                     ticket,
-                    self.entry.version,
+                    self.resolver.version,
                     outcome,
                     detail,
                 )
             )
 
-    async def until_deadline(
+    async def run_until_deadline(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
-        """Has a request answered until its deadline.
+        """Runs the attempts of a request until its deadline.
 
         Raises:
-            RequestError: It was not.
+            RequestError: The request was not answered.
         """
         with trio.CancelScope(deadline=ticket.deadline) as scope:
-            await self.run(ticket, answer)
+            await self.run_attempts(ticket, answer)
         if not scope.cancelled_caught:
             return
         if ticket.may_have_run:
             raise errors.OutcomeUnknown('no answer before the deadline')
         raise errors.NoUpstream('not sent before the deadline')
 
-    async def run(
+    async def run_attempts(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
         """Sends a request to one upstream after the other.
 
         Raises:
             RequestError: None of them answered.
+            RequestQuarantined: The request crashes upstreams.
         """
         self.attempts.crashes.check(ticket)
         self.budget.note_request(ticket.service)
         while (upstream := await self.next_upstream(ticket)) is not None:
             if await self.try_upstream(ticket, upstream, answer):
                 return
-            if not self.go_on(ticket, answer):
+            if not self.may_continue(ticket, answer):
                 break
-        await self.give_up(ticket, answer)
+        await self.finish_unanswered(ticket, answer)
 
     async def try_upstream(
         self,
@@ -220,15 +233,15 @@
         upstream: forwarding.Upstream,
         answer: interfaces.CallerAnswer,
     ) -> bool:
-        """Sends a request to an upstream; returns whether it has answered."""
-        record = ticket.placed[-1]
-        if ticket.hop is not None:
-            ticket.attempt_hop = self.tracer.begin_attempt(ticket, upstream)
+        """Sends a request to an upstream; returns whether it succeeded."""
+        record = ticket.attempts[-1]
+        if ticket.span is not None:
+            ticket.attempt_span = self.tracer.begin_attempt(ticket, upstream)
         try:
             await self.attempts.attempt(
-                ticket, upstream, answer, self.repeat_check(ticket, answer)
+                ticket, upstream, answer, self.retry_check(ticket, answer)
             )
-            record.result = records.COMPLETE
+            record.result = decision_records.COMPLETE
         except errors.UpstreamUnreachable as exc:
             record.result = type(exc).__name__
             ticket.unreachable.append(upstream.instance)
@@ -239,16 +252,16 @@
             record.result = type(exc).__name__
         finally:
             record.finished = trio.current_time() - record.started
-            if ticket.attempt_hop is not None:
-                ticket.attempt_hop.end(failed_result(record))
-        return record.result == records.COMPLETE
+            if ticket.attempt_span is not None:
+                ticket.attempt_span.end(failed_result(record))
+        return record.result == decision_records.COMPLETE
 
     async def next_upstream(
         self, ticket: tickets.Ticket
     ) -> forwarding.Upstream | None:
-        """Returns the upstream that comes next, None if there is none."""
-        choice = await self.placing.choose(ticket)
-        ticket.wanted_in = choice.retry_after_seconds
+        """Returns the upstream of the next attempt, None if there is none."""
+        choice = await self.reserving_chooser.choose(ticket)
+        ticket.retry_after_seconds = choice.retry_after_seconds
         if choice.upstream is None:
             return None
         record = decisions_module.Attempt(
@@ -257,120 +270,135 @@
             passed_over=choice.passed_over,
             started=trio.current_time(),
         )
-        ticket.placed.append(record)
-        note_sent(ticket, record)
+        ticket.attempts.append(record)
+        log_request_sent(ticket, record)
         return choice.upstream
 
-    def repeat_check(
+    def retry_check(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> Callable[[], bool]:
-        """Returns what tells whether an attempt may be followed by another.
+        """Returns a check whether an attempt may be ended for a retry.
 
-        What it allows is taken at once: of several requests that give their
-        upstreams up in the same moment, each must find its repeat.
+        The check reserves the retry that it allows: several requests may end
+        their attempts at the same moment, and each needs a retry of its own.
         """
 
         def check() -> bool:
             if not ticket.rule.then.repeatable:
                 return False
             if answer.started and not self.may_resume(ticket):
-                # nobody could go on: what is silent may still come
+                # No upstream could resume the stream, and the silent one may
+                # still continue it.
                 return False
             if not self.chooser.any_accepts(ticket.service):
                 return False
-            self.drop_lapsed(ticket)
+            self.release_expired_retry(ticket)
             if ticket.may_send:
                 return True
             if not self.budget.available(ticket.service):
                 return False
-            return self.take_repeat(ticket)
+            return self.reserve_retry(ticket)
 
         return check
 
-    def take_repeat(self, ticket: tickets.Ticket) -> bool:
-        """Takes a repeat for a request, if it may have one."""
-        if ticket.sends_left <= 0:
+    def reserve_retry(self, ticket: tickets.Ticket) -> bool:
+        """Reserves a retry for a request; returns whether it may have one."""
+        if ticket.attempts_left <= 0:
             return False
         if not self.budget.try_take(ticket.service):
             return False
-        ticket.repeats += 1
-        ticket.repeat_at = trio.current_time()
+        ticket.retries += 1
+        ticket.retry_reserved_at = trio.current_time()
         return True
 
-    def drop_lapsed(self, ticket: tickets.Ticket) -> None:
-        """Forgets a repeat that was taken and not sent for a while.
+    def release_expired_retry(self, ticket: tickets.Ticket) -> None:
+        """Drops a reserved retry that was not sent within RETRY_HOLD_SECONDS.
 
-        Its wait ended by itself. Sent when its upstream fails much later, it
-        would come on top of all that the fleet may repeat by then.
+        The attempt that it was reserved for went on by itself. Sent much
+        later, when that upstream fails, the retry would exceed the retry
+        budget of the fleet by then.
         """
-        held = ticket.used and ticket.may_send
-        if held and trio.current_time() - ticket.repeat_at > HOLD_SECONDS:
-            ticket.repeats -= 1
-
-    def go_on(
+        reserved = ticket.sent_to and ticket.may_send
+        if (
+            reserved
+            and trio.current_time() - ticket.retry_reserved_at
+            > RETRY_HOLD_SECONDS
+        ):
+            ticket.retries -= 1
+
+    def may_continue(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> bool:
-        """Returns whether another upstream is tried."""
-        if answer.gone:
+        """Returns whether another upstream may be tried."""
+        if answer.disconnected:
             return False
-        if answer.mid_write:
-            # the caller may have a part of it: nothing can follow
+        if answer.write_pending:
+            # The caller may have received a part of the write, after which
+            # the stream cannot be resumed.
             return False
         if ticket.may_have_run and not ticket.rule.then.repeatable:
             return False
         if answer.started and not self.may_resume(ticket):
             return False
-        self.drop_lapsed(ticket)
-        if self.gives_up_connecting(ticket):
+        self.release_expired_retry(ticket)
+        if self.connect_attempts_exhausted(ticket):
             return False
-        return ticket.may_send or self.take_repeat(ticket)
+        return ticket.may_send or self.reserve_retry(ticket)
 
-    def gives_up_connecting(self, ticket: tickets.Ticket) -> bool:
-        """Returns whether enough upstreams were found gone."""
+    def connect_attempts_exhausted(self, ticket: tickets.Ticket) -> bool:
+        """Returns whether too many upstreams were unreachable or replaced."""
         if len(ticket.replaced) >= MAX_REPLACED:
             return True
         tried = len(ticket.unreachable)
-        if tried < MAX_UNREACHABLE_SLOW:
+        if tried < MAX_SLOW_UNREACHABLE:
             return False
         waited = trio.current_time() - ticket.request.arrived
-        return waited >= SLOW_SECONDS or tried >= MAX_UNREACHABLE
+        return waited >= SLOW_CONNECT_SECONDS or tried >= MAX_UNREACHABLE
 
     def may_resume(self, ticket: tickets.Ticket) -> bool:
-        """Returns whether another upstream can go on with a stream."""
-        return ticket.rule.then.resumable and ticket.cutter.written.numbered
+        """Returns whether another upstream can resume the stream."""
+        return (
+            ticket.rule.then.resumable
+            and ticket.splitter.written_position.numbered
+        )
 
-    async def give_up(
+    async def finish_unanswered(
         self, ticket: tickets.Ticket, answer: interfaces.CallerAnswer
     ) -> None:
-        """Answers a request that no further upstream is tried for.
+        """Ends a request for which no further upstream is tried.
 
-        What earlier attempts left decides: a stream that has begun takes no
-        second answer, and what may have run is not called not run.
+        An error response held from an earlier attempt is passed on, unless a
+        stream has begun, which cannot take a second response. A request that
+        may have run is not reported as not run.
 
         Raises:
             RequestError: No upstream answered.
         """
         if ticket.fallback is not None and not answer.started:
-            held = ticket.fallback
-            await answer.whole(held.head.status, held.head.headers, held.body)
+            fallback = ticket.fallback
+            await answer.send_whole(
+                fallback.head.status, fallback.head.headers, fallback.body
+            )
             return
         if ticket.may_have_run:
-            raise errors.OutcomeUnknown('the upstream broke off')
+            raise errors.OutcomeUnknown('the upstream broke off its response')
         cause = f'no upstream of {ticket.service!r} is known'
-        if ticket.placed:
-            cause = 'no upstream took the request'
-        if ticket.wanted_in:
-            cause = f'no upstream of {ticket.service!r} wants requests now'
-        seconds = entry_module.come_back_seconds(ticket.left)
-        raise errors.NoUpstream(cause, max(seconds, ticket.wanted_in))
+        if ticket.attempts:
+            cause = 'no upstream accepted the request'
+        if ticket.retry_after_seconds:
+            cause = f'all upstreams of {ticket.service!r} asked for a pause'
+        seconds = request_resolver.retry_after_seconds(ticket.seconds_left)
+        raise errors.NoUpstream(cause, max(seconds, ticket.retry_after_seconds))
 
 
-def note_sent(ticket: tickets.Ticket, record: decisions_module.Attempt) -> None:
-    """Writes where a request is sent now, and why there.
+def log_request_sent(
+    ticket: tickets.Ticket, record: decisions_module.Attempt
+) -> None:
+    """Logs where a request is sent, and why.
 
-    A repeat always has its line: it spends what the fleet may repeat.
+    Retries are always logged, because each uses up the retry budget.
     """
-    number = len(ticket.placed)
+    number = len(ticket.attempts)
     if not ticket.logged and number == 1:
         return
     logs.change(
@@ -379,21 +407,23 @@
         attempt=number,
         upstream=record.upstream,
         why=record.reason,
-        passed_over=passed_over_texts([record]),
-        after_event=ticket.cutter.written.number,
-        seconds_left=round(ticket.left, 3),
+        passed_over=passed_over_summaries([record]),
+        after_event=ticket.splitter.written_position.number,
+        seconds_left=round(ticket.seconds_left, 3),
     )
 
 
 def failed_result(record: decisions_module.Attempt) -> str:
-    """Returns how an attempt failed, empty if it did not."""
-    return '' if record.result == records.COMPLETE else record.result
+    """Returns the error of an attempt, empty if it succeeded."""
+    return '' if record.result == decision_records.COMPLETE else record.result
 
 
-def passed_over_texts(placed: Iterable[decisions_module.Attempt]) -> list[str]:
-    """Returns which upstreams were not taken, and why, for the log."""
+def passed_over_summaries(
+    attempts: Iterable[decisions_module.Attempt],
+) -> list[str]:
+    """Returns the upstreams that were passed over and why, for the log."""
     return [
-        f'{one.upstream} {one.reason}'
-        for attempt in placed
-        for one in attempt.passed_over
+        f'{candidate.upstream} {candidate.reason}'
+        for attempt in attempts
+        for candidate in attempt.passed_over
     ]
--- a/lavenderbend/coordination/forwarding/entry.py
+++ b/lavenderbend/coordination/forwarding/request_resolver.py
@@ -1,4 +1,4 @@
-"""From a caller's request to what may be done with it."""
+"""Resolves a caller's request to its rule, customer, pool and deadline."""
 
 from __future__ import annotations
 
@@ -16,46 +16,53 @@
 
 if TYPE_CHECKING:
     from lavenderbend.coordination.forwarding import interfaces
-    from lavenderbend.coordination.forwarding import snapshots
+    from lavenderbend.coordination.forwarding import (
+        snapshots as snapshots_module,
+    )
     from lavenderbend.state import forwarding
     from lavenderbend.state import forwarding_settings
 
 SCHEME = 'bearer '
 LAST_EVENT_ID = 'last-event-id'
 MAX_DEADLINE_MILLISECONDS = 24 * 3600 * 1000
-# a router that has just started or woken knows better after one read
-WAIT_FRESH_SECONDS = 0.3
-# callers come back at most after a third of the time that they have left
-COME_BACK_PART = 0.3
-MIN_COME_BACK_SECONDS = 0.05
-MAX_COME_BACK_SECONDS = 1.0
-SHARE_STEPS = 1_000_000
+# A router that has just started, or was suspended, is up to date after one
+# read of the store; requests wait this long for it.
+FRESH_WAIT_SECONDS = 0.3
+# Callers are asked to retry within a third of the time that they have left.
+RETRY_AFTER_FRACTION = 0.3
+MIN_RETRY_AFTER_SECONDS = 0.05
+MAX_RETRY_AFTER_SECONDS = 1.0
+POOL_SHARE_STEPS = 1_000_000
 
 
-def come_back_seconds(left: float) -> float:
-    """Returns when a caller should ask again, by the time it has left."""
-    seconds = left * COME_BACK_PART
-    return min(max(seconds, MIN_COME_BACK_SECONDS), MAX_COME_BACK_SECONDS)
+def retry_after_seconds(left: float) -> float:
+    """Returns the Retry-After for a caller with `left` seconds left."""
+    seconds = left * RETRY_AFTER_FRACTION
+    return min(max(seconds, MIN_RETRY_AFTER_SECONDS), MAX_RETRY_AFTER_SECONDS)
 
 
-class Entry:
+class RequestResolver:
     """Finds the rule and the customer of each request.
 
     Attributes:
-        compiled: The rules of the version in force.
-        customers: Customers by credential, of that version.
-        version: That version.
+        snapshots: The snapshots of this router.
+        headers: Names of the headers.
+        apply_seconds: Age of the configuration up to which an unknown route
+            or credential is refused without a new read.
+        compiled: The compiled rules of the version in force.
+        customers: Customers of that version by credential.
+        version: The configuration version in force.
         hits: How often each rule was the first match, by name.
         unmatched: How many requests no rule matched.
     """
 
     def __init__(
         self,
-        followed: snapshots.Snapshots,
+        snapshots: snapshots_module.Snapshots,
         headers: forwarding_settings.ForwardHeaders,
         apply_seconds: float,
     ) -> None:
-        self.followed = followed
+        self.snapshots = snapshots
         self.headers = headers
         self.apply_seconds = apply_seconds
         self.version = -1
@@ -68,45 +75,47 @@
         """Returns the ticket of a request.
 
         Raises:
-            RequestError: It is refused.
+            RequestError: The request is refused.
         """
         try:
-            return await self.decide(request)
+            return await self.resolve(request)
         except (errors.NoRuleMatched, errors.NotAuthenticated):
-            # a router that was cut off or asleep may lack a route or a
-            # credential: its caller must not be told that there is none
-            if self.followed.age < self.apply_seconds:
+            # A router that was cut off or suspended may lack a new route or
+            # credential. It must not tell callers that there is none.
+            if self.snapshots.age < self.apply_seconds:
                 raise
             await self.require_fresh(self.apply_seconds, request)
-            return await self.decide(request)
+            return await self.resolve(request)
 
-    async def decide(self, request: interfaces.CallerRequest) -> tickets.Ticket:
-        """Returns the ticket by the version in force.
+    async def resolve(
+        self, request: interfaces.CallerRequest
+    ) -> tickets.Ticket:
+        """Returns the ticket by the configuration in force.
 
         Raises:
-            RequestError: It is refused.
+            RequestError: The request is refused.
         """
-        table = self.followed.table
+        table = self.snapshots.table
         if table is None:
             await self.require_fresh(self.apply_seconds, request)
-            table = self.followed.table
+            table = self.snapshots.table
         if table is None:
             raise errors.NoConfiguration(
-                'no configuration was read yet', WAIT_FRESH_SECONDS
+                'no configuration was read yet', FRESH_WAIT_SECONDS
             )
         self.compile(table)
-        rule = self.compiled.find(self.facts(request))
+        rule = self.compiled.find(self.match_facts(request))
         if rule is None:
             self.unmatched += 1
             raise errors.NoRuleMatched('no rule matches')
         self.hits[rule.name] += 1
         customer = None
         if table.customers and not rule.then.public:
-            customer = await self.customer(request)
-        return self.ticket(request, rule, customer)
+            customer = await self.authenticate(request)
+        return self.make_ticket(request, rule, customer)
 
     def compile(self, table: forwarding.ForwardingTable) -> None:
-        """Prepares the rules and credentials of a version, once."""
+        """Compiles the rules and credentials of a version, once."""
         if table.version == self.version:
             return
         compiled = rules_module.CompiledRules(table.rules, self.compiled)
@@ -115,14 +124,16 @@
             for customer in table.customers
             for credential in customer.credentials
         }
-        # all or nothing: a fault on the way must not leave credentials of the
-        # version before under the number of this one
+        # Assigned together at the end: an error above must not leave
+        # credentials of the previous version under the new version number.
         self.compiled = compiled
         self.customers = customers
         self.version = table.version
 
-    def facts(self, request: interfaces.CallerRequest) -> rules_module.Facts:
-        """Returns what rules look at."""
+    def match_facts(
+        self, request: interfaces.CallerRequest
+    ) -> rules_module.Facts:
+        """Returns the properties of a request that rules match."""
         host = (request.header('host') or '').lower()
         return rules_module.Facts(
             customer='',
@@ -131,18 +142,18 @@
             headers={'host': host.partition(':')[0]},
         )
 
-    async def customer(
+    async def authenticate(
         self, request: interfaces.CallerRequest
     ) -> forwarding.ForwardCustomer:
         """Returns the customer of a request's credential.
 
         Raises:
-            ConfigurationStale: The credential may have been taken away.
+            ConfigurationStale: The credential may have been revoked.
             NotAuthenticated: There is no such credential.
         """
-        if not self.followed.may_serve_credentials():
+        if not self.snapshots.may_serve_credentials():
             await self.require_fresh(
-                self.followed.settings.revocation_seconds / 2, request
+                self.snapshots.settings.revocation_seconds / 2, request
             )
             return self.find_customer(request)
         return self.find_customer(request)
@@ -150,12 +161,12 @@
     def find_customer(
         self, request: interfaces.CallerRequest
     ) -> forwarding.ForwardCustomer:
-        """Returns the customer by the version in force.
+        """Returns the customer by the configuration in force.
 
         Raises:
             NotAuthenticated: There is no such credential.
         """
-        table = self.followed.table
+        table = self.snapshots.table
         self.compile(table)
         value = request.header('authorization') or ''
         if value[: len(SCHEME)].lower() != SCHEME:
@@ -168,24 +179,28 @@
     async def require_fresh(
         self, seconds: float, request: interfaces.CallerRequest
     ) -> None:
-        """Waits a moment for a fresh snapshot.
+        """Waits up to FRESH_WAIT_SECONDS for a recent snapshot.
+
+        Args:
+            seconds: Largest age that the configuration may have.
+            request: The request that needs it.
 
         Raises:
-            ConfigurationStale: None came.
+            ConfigurationStale: The configuration is still older.
         """
-        if await self.followed.wait_fresh(seconds, WAIT_FRESH_SECONDS):
+        if await self.snapshots.wait_fresh(seconds, FRESH_WAIT_SECONDS):
             return
         left = self.caller_deadline(request, 1.0) - trio.current_time()
         raise errors.ConfigurationStale(
-            f'the configuration was last confirmed {self.followed.age:.1f} s '
+            f'the configuration was last confirmed {self.snapshots.age:.1f} s '
             'ago',
-            come_back_seconds(left),
+            retry_after_seconds(left),
         )
 
     def caller_deadline(
         self, request: interfaces.CallerRequest, timeout: float
     ) -> float:
-        """Returns the router clock at which the caller gives up."""
+        """Returns the deadline of the caller, in the router's clock."""
         text = request.header(self.headers.deadline) or ''
         seconds = timeout
         if text.isdigit():
@@ -193,13 +208,13 @@
             seconds = min(seconds, stated)
         return request.arrived + seconds
 
-    def ticket(
+    def make_ticket(
         self,
         request: interfaces.CallerRequest,
         rule: forwarding.ForwardRule,
         customer: forwarding.ForwardCustomer | None,
     ) -> tickets.Ticket:
-        """Returns the ticket of an admitted request."""
+        """Returns a new ticket for an admitted request."""
         then = rule.then
         request_id = request.header(self.headers.request_id) or ''
         rank = then.rank
@@ -210,25 +225,28 @@
             id=request_id,
             request=request,
             rule=rule,
-            service=pool_of(then, request_id),
+            service=weighted_pool(then, request_id),
             customer='' if customer is None else customer.name,
             rank=rank,
             deadline=self.caller_deadline(request, then.timeout),
-            need=choice.RequestPrompt(
+            prompt=choice.RequestPrompt(
                 choice.parse_parts(request.header(self.headers.prompt_parts))
             ),
-            cutter=events.EventCutter(
-                events.parse_number(last.encode('latin-1'))
+            splitter=events.EventSplitter(
+                events.parse_event_number(last.encode('latin-1'))
             ),
         )
 
 
-def pool_of(then: forwarding.Forward, request_id: str) -> str:
-    """Returns the pool of a request, by the weights of its rule."""
+def weighted_pool(then: forwarding.Forward, request_id: str) -> str:
+    """Returns the pool of a request, chosen by the weights of its rule.
+
+    The choice depends only on the request id.
+    """
     if len(then.pools) == 1:
         return then.pools[0].pool
     total = sum(share.weight for share in then.pools)
-    unit = hashing.hash64(request_id) % SHARE_STEPS / SHARE_STEPS
+    unit = hashing.hash64(request_id) % POOL_SHARE_STEPS / POOL_SHARE_STEPS
     point = unit * total
     for share in then.pools:
         point -= share.weight
--- a/lavenderbend/coordination/forwarding/hops.py
+++ b/lavenderbend/coordination/forwarding/request_spans.py
@@ -1,4 +1,4 @@
-"""Spans of forwarded requests, where the settings name a collector."""
+"""Trace spans of forwarded requests."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Tracer:
-    """Makes a span for a request, and one below it for each attempt.
+    """Makes a span for each request, and a child span for each attempt.
 
-    Routers whose settings name no collector have no tracer, and load no
+    Routers whose settings name no collector have no tracer and load no
     tracing library.
     """
 
     def begin_request(self, request: interfaces.CallerRequest) -> spans.Hop:
-        """Returns the span of a request, below its caller's own if any."""
+        """Returns the span of a request, a child of the caller's if any."""
         headers = {
             name: value
             for name in spans.TRACE_HEADERS
@@ -34,22 +34,23 @@
         self, ticket: tickets.Ticket, upstream: forwarding.Upstream
     ) -> spans.Hop:
         """Returns the span of one attempt."""
-        hop = spans.Hop('attempt', ticket.hop.headers, trace.SpanKind.CLIENT)
-        hop.note('upstream', upstream.instance)
-        return hop
+        span = spans.Hop('attempt', ticket.span.headers, trace.SpanKind.CLIENT)
+        span.note('upstream', upstream.instance)
+        return span
 
     def end_request(
-        self, hop: spans.Hop, ticket: tickets.Ticket | None, outcome: str
+        self, span: spans.Hop, ticket: tickets.Ticket | None, outcome: str
     ) -> None:
         """Ends the span of a request.
 
         Args:
-            hop: The span.
-            ticket: What was decided, None if it was refused at the entry.
-            outcome: Kind of the error, empty if it was answered.
+            span: The span.
+            ticket: The request's ticket, None if the request was refused
+                before it got one.
+            outcome: Kind of the error, empty if the request was answered.
         """
         if ticket is not None:
-            hop.note('request.id', ticket.id)
-            hop.note('rule', ticket.rule.name)
-            hop.note('service', ticket.service)
-        hop.end(outcome)
+            span.note('request.id', ticket.id)
+            span.note('rule', ticket.rule.name)
+            span.note('service', ticket.service)
+        span.end(outcome)
--- a/lavenderbend/coordination/forwarding/reserving_chooser.py
+++ b/lavenderbend/coordination/forwarding/reserving_chooser.py
@@ -141,14 +141,14 @@
     async def choose(self, ticket: tickets.Ticket) -> choice_module.Choice:
         """Chooses the next upstream of a request and reserves it there."""
         choice = self.chooser.choose(
-            ticket.service, ticket.need, ticket.tried, ticket.id
+            ticket.service, ticket.prompt, ticket.tried, ticket.id
         )
-        ticket.taken = None
-        if choice.upstream is None or not ticket.need.parts:
+        ticket.reservation = None
+        if choice.upstream is None or not ticket.prompt.parts:
             return choice
         if self.fleet_size() <= SMALL_FLEET_ROUTERS:
             return choice
-        prompt = make_prompt(ticket.need.parts, ticket.need.chat)
+        prompt = make_prompt(ticket.prompt.parts, ticket.prompt.chat)
         offers = await self.ask(ticket, prompt, choice.allowed)
         # Upstreams may have come or gone while owners were asked.
         upstreams = self.chooser.directory.candidates(ticket.service).by_name
@@ -159,9 +159,9 @@
         self.release(offers, chosen)
         if chosen is None:
             return self.chooser.choose(
-                ticket.service, ticket.need, ticket.tried, ticket.id
+                ticket.service, ticket.prompt, ticket.tried, ticket.id
             )
-        ticket.taken = reservations_module.ActiveReservation(
+        ticket.reservation = reservations_module.ActiveReservation(
             self.reservations,
             chosen.reservation,
             offers[0].reservation,
@@ -178,7 +178,9 @@
         bound: int,
     ) -> list[Offer]:
         """Reserves at owners in turn, until an offer is good enough."""
-        usable = self.chooser.usable(ticket.service, ticket.need, ticket.tried)
+        usable = self.chooser.usable(
+            ticket.service, ticket.prompt, ticket.tried
+        )
         offers: list[Offer] = []
         try:
             while needs_another_offer(offers, bound):
@@ -186,7 +188,7 @@
                 if upstream is None:
                     break
                 reservation = await self.reservations.reserve(
-                    upstream, prompt, ticket.left
+                    upstream, prompt, ticket.seconds_left
                 )
                 if reservation is None:
                     break
--- a/tests/test_coordination/test_forwarding_offers.py
+++ b/tests/test_coordination/test_forwarding_offers.py
@@ -46,7 +46,7 @@
 
     def put(self, content):
         for node in self.routers.values():
-            node.source.known[content.digest] = content
+            node.source.snapshots_by_digest[content.digest] = content
             node.source.put(content)
 
     def fetches_between_zones(self):
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -261,15 +261,18 @@
         for instance in chats.placing.instances.values()
         if instance != preferred
     )
-    first.taken.reservations.queue_note(
-        first.taken.preferred, HELD, first.taken.chat, hashing.short_id(holder)
+    first.reservation.reservations.queue_note(
+        first.reservation.preferred,
+        HELD,
+        first.taken.chat,
+        hashing.short_id(holder),
     )
-    first.taken.note_ended()
+    first.reservation.note_ended()
     await trio.sleep(0.5)
     again = ticket(shared_tokens=tokens)
     chosen = await chats.placing.choose(again)
     assert chosen.upstream.instance == (holder if goes_back else preferred)
-    assert again.taken.holders == [holder]
+    assert again.reservation.holders == [holder]
 
 
 async def test_report_over_the_bound_counts_against_a_new_owner(
@@ -301,8 +304,8 @@
     chats.chooser.directory.replaced.add(preferred)
     await trio.sleep(0.2)
     assert choices[0].upstream.instance != preferred
-    if subject.taken is not None:
-        assert subject.taken.reservation.instance != preferred
+    if subject.reservation is not None:
+        assert subject.reservation.reservation.instance != preferred
 
 
 async def test_small_fleet_makes_no_reservations(nursery, autojump_clock):
@@ -312,7 +315,7 @@
     chats = prompts.Chats(fleet.routers[0], by_owners=True)
     subject = ticket()
     await chats.placing.choose(subject)
-    assert subject.taken is None
+    assert subject.reservation is None
 
 
 @pytest.mark.parametrize('size', [30, 90])
--- a/tests/test_coordination/test_forwarding_peers.py
+++ b/tests/test_coordination/test_forwarding_peers.py
@@ -45,7 +45,7 @@
     def set_content(self, content):
         self.content = content
         for node in self.routers.values():
-            node.source.known[content.digest] = content
+            node.source.snapshots_by_digest[content.digest] = content
             node.source.put(content)
 
     def read_count(self):
@@ -184,7 +184,9 @@
         fleet.isolate_from_store(host)
     node = fleet.add('10.0.0.9')
     node.source.error = errors.KeyValueUnavailable('down')
-    node.source.known.update(fleet.routers[HOSTS[0]].source.known)
+    node.source.snapshots_by_digest.update(
+        fleet.routers[HOSTS[0]].source.snapshots_by_digest
+    )
     await trio.sleep(1.5)
     assert node.snapshots.table.version == 1
     assert node.snapshots.may_serve_credentials()
@@ -195,11 +197,11 @@
 ):
     facts = fleet.routers[HOSTS[0]].peers.facts
     for name in ('e1', 'e2'):
-        facts.add(crashes.DEATH, crashes.subject_of(7), name, 60.0)
+        facts.add(crashes.DEATH, crashes.fact_subject(7), name, 60.0)
     await trio.sleep(5.0)
     node = fleet.add('10.0.0.9')
     await trio.sleep(1.5)
-    assert node.crashes.deaths(7) == ['e1', 'e2']
+    assert node.crashes.crashed_upstreams(7) == ['e1', 'e2']
 
 
 async def test_departures_do_not_displace_facts_for_a_starting_router(
@@ -208,7 +210,7 @@
     # Guards against a rollout of upstreams whose departures fill the message to
     # a starting router, so that it does not receive a crash.
     facts = fleet.routers[HOSTS[0]].peers.facts
-    facts.add(crashes.DEATH, crashes.subject_of(7), 'e1', 60.0)
+    facts.add(crashes.DEATH, crashes.fact_subject(7), 'e1', 60.0)
     for number in range(20):
         facts.add(departures.LEFT, f'x{number}', '1', 30.0)
     kinds = [kind for kind, *_ in facts.rows_for_starting()]
@@ -255,7 +257,7 @@
         loads.note_report(upstream.instance, b'31,95,32')
         peers.facts.add(
             crashes.DEATH,
-            crashes.subject_of(2**64 - 1),
+            crashes.fact_subject(2**64 - 1),
             upstream.instance,
             60.0,
         )
--- a/tests/test_coordination/test_forwarding_silence.py
+++ b/tests/test_coordination/test_forwarding_silence.py
@@ -127,7 +127,7 @@
     )
     router = fakes.Router(content, exchanges)
     began = trio.current_time()
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert answer.body == event(1) + event(2)
     assert trio.current_time() - began < 0.8
 
@@ -139,7 +139,7 @@
     steps = [fakes.reply(body=(b'data: a\n\n', 2.0, b'data: b\n\n'))]
     exchanges.steps = {'e1': steps, 'e2': steps}
     router = resumable_router(exchanges)
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert error is None
     assert answer.body == b'data: a\n\ndata: b\n\n'
     assert len(exchanges.sent) == 1
@@ -240,7 +240,7 @@
     # in the middle of the stream.
     exchanges = fakes.Exchanges(e1=(), e2=(), e3=())
     shared = [
-        fakes.reply(body=(event(1),), then=fakes.LOST_ANSWER),
+        fakes.reply(body=(event(1),), error=fakes.LOST_ANSWER),
         fakes.reply(500),
     ]
     exchanges.steps = {'e1': shared, 'e2': shared, 'e3': shared}
@@ -249,7 +249,7 @@
     router = fakes.Router(
         fakes.snapshot(1, fakes.table(1, rules), *upstreams), exchanges
     )
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert answer.heads == 1
     assert answer.body == event(1)
     assert not answer.finished
@@ -266,6 +266,6 @@
     ]
     exchanges.steps = {'e1': shared, 'e2': shared}
     router = resumable_router(exchanges)
-    answer, error = await router.ask()
+    answer, error = await router.send_request()
     assert error is None
     assert answer.body == event(1) + event(2) + event(3)
