--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -265,7 +265,7 @@
     first.reservation.reservations.note(
         first.reservation.place,
         HELD,
-        first.taken.chat,
+        first.reservation.chat,
         hashing.short_id(holder),
     )
     first.reservation.ended()
