--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -264,7 +264,7 @@
     first.reservation.reservations.queue_note(
         first.reservation.preferred,
         HELD,
-        first.taken.chat,
+        first.reservation.chat,
         hashing.short_id(holder),
     )
     first.reservation.note_ended()
