--- a/bench/peers/scale.py
+++ b/bench/peers/scale.py
@@ -114,7 +114,7 @@
 
 def poll_alone(fleet, member):
     """Has a router poll the engines of which it is the only poller."""
-    member.wants_report = lambda vm: poller(fleet, vm) == member.vm.id
+    member.poll_filter = lambda vm: poller(fleet, vm) == member.vm.id
 
 
 def poller(fleet, vm):
@@ -171,7 +171,7 @@
     )
     for name, member in fleet.members.items():
         # as admission has it: one router polls each engine
-        member.wants_report = owner_of(name, sorted(fleet.members))
+        member.poll_filter = owner_of(name, sorted(fleet.members))
     await trio.sleep(settle)
     links = [fleet.network.links[name] for name in fleet.members]
     before = sum(link.bytes_sent + link.bytes_received for link in links)
--- a/lavenderbend/coordination/limits/__init__.py
+++ b/lavenderbend/coordination/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Request limits of customers that hold over the whole fleet."""
+"""Fleet-wide request limits of customers."""
 
 from __future__ import annotations
 
--- a/lavenderbend/coordination/limits/customers.py
+++ b/lavenderbend/coordination/limits/customers.py
@@ -1,4 +1,4 @@
-"""Limits of customers by tokens that their home routers lend."""
+"""Limits of customers, enforced with tokens granted by home routers."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     from lavenderbend.protocol import peer
     from lavenderbend.state import configuration
 
-# customers share a home by groups, so that one message carries many
+# customers of a group share a home router, so that one message covers many
 GROUPS = 16
-# a router reports to a home this often, sooner if a bucket runs low
+# a router reports to a home at this interval, sooner if a bucket runs low
 REPORT_SECONDS = 10.0
 MAX_RETRY_SECONDS = 60.0
 
@@ -32,17 +32,18 @@
 
 
 def group_of(customer: str) -> int:
-    """Returns the group of customers that share a home."""
+    """Returns the group of a customer."""
     return messages_decisions.short_id(customer) % GROUPS
 
 
 class CustomerLimits:
-    """Tokens of each customer's limit, lent to where its requests come.
+    """Enforces limits of customers with leased tokens.
 
-    Requests meet a bucket in memory. A group's home router, by rendezvous,
-    fills a pool of tokens for each customer at the rate of its limit; routers
-    whose buckets are not full ask it for whole tokens, all customers of the
-    home in one message.
+    Each request spends a token of a bucket in memory. The home router of a
+    group of customers, chosen by rendezvous hashing, fills a pool of tokens
+    for each customer at the rate of its limit. Routers whose buckets are not
+    full request whole tokens from it, for all customers of that home in one
+    message.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         link.handle(messages_decisions.CustomerShare, self.on_share)
 
     def refresh(self) -> None:
-        """Reads the configuration again if it has changed."""
+        """Applies the configuration if its revision has changed."""
         revision = self.configurations.current()
         if revision.number == self.revision:
             return
@@ -92,25 +93,30 @@
             pool.set_limit(self.customers[name])
 
     def refresh_homes(self) -> None:
-        """Chooses the homes again if the routers have changed.
+        """Recomputes the home routers if the live routers have changed.
 
-        Pools of groups that moved away are dropped: kept, they would be full
-        when the group comes back, though another home has lent since.
+        Pools of groups that moved to another home are dropped. If the group
+        came back, such a pool would be full although the other home has
+        granted tokens meanwhile.
         """
         routers = self.membership.routers()
         if self.homes and routers == self.routers:
             return
         self.routers = routers
-        before = self.homes or [''] * GROUPS
+        previous_homes = self.homes or [''] * GROUPS
         self.homes = [
             hashing.rendezvous(f'limit/{group}', routers) or self.name
             for group in range(GROUPS)
         ]
         now = trio.current_time()
         for group, home in enumerate(self.homes):
-            if home != before[group]:
+            if home != previous_homes[group]:
                 self.home_since[group] = now
-        for name in [one for one in self.pools if self.home(one) != self.name]:
+        for name in [
+            customer
+            for customer in self.pools
+            if self.home(customer) != self.name
+        ]:
             del self.pools[name]
 
     def home(self, customer: str) -> str:
@@ -119,7 +125,7 @@
         return self.homes[group_of(customer)]
 
     def check(self, customer: str) -> None:
-        """Counts a request of a customer.
+        """Spends a token for a request of a customer.
 
         Raises:
             CustomerOverLimit: The customer is over its limit.
@@ -133,7 +139,7 @@
             bucket = self.buckets[customer] = buckets.Bucket()
         self.active.add(customer)
         if bucket.unanswered_since is not None:
-            self.add_even_part(limit, bucket)
+            self.add_even_share(limit, bucket)
         if bucket.spend():
             return
         REFUSED.inc({'customer': customer})
@@ -144,21 +150,22 @@
             retry_after=round(min(MAX_RETRY_SECONDS, wait), 1),
         )
 
-    def add_even_part(
+    def add_even_share(
         self, limit: configuration.Customer, bucket: buckets.Bucket
     ) -> None:
-        """Adds this router's even part if the home does not answer."""
+        """Adds this router's even share if the home does not answer."""
         count = max(1, len(self.membership.routers()))
-        bucket.add_even_part(
+        bucket.add_even_share(
             limit.requests_per_second / count, trio.current_time()
         )
 
     async def run(self) -> None:
-        """Reports what buckets lack until cancelled.
+        """Reports token deficits periodically until cancelled.
 
-        Each router begins at a time of its own: of routers that report at
-        once the first finds the pool of a whole interval, in a surge two to
-        three times what the others get, and the home has all to do at once.
+        Each router starts at a different phase. If all reported at the same
+        moment, the first would find the tokens of a whole interval, in a
+        surge two to three times what the others get, and the home would
+        process all reports at once.
         """
         phase = hashing.hash64('limits', self.name) / hashing.MAX_HASH
         await trio.sleep(phase * buckets.INTERVAL_SECONDS)
@@ -171,105 +178,110 @@
             self.report()
 
     def report(self) -> None:
-        """Reports to the homes whose time it is or that are needed now."""
+        """Reports to the homes for which a report is due or urgent."""
         self.refresh_homes()
         now = trio.current_time()
-        lacking: dict[str, list[str]] = collections.defaultdict(list)
+        reporting: dict[str, list[str]] = collections.defaultdict(list)
         due: set[str] = set()
         for name in list(self.active):
             bucket = self.buckets[name]
             bucket.end_interval()
-            if not bucket.want():
-                if bucket.quiet():
+            if not bucket.deficit():
+                if bucket.is_idle():
                     self.active.discard(name)
                 continue
             home = self.homes[group_of(name)]
-            lacking[home].append(name)
-            waits = bucket.unanswered_since is not None
-            if waits or bucket.urgent() or self.is_due(home, now):
+            reporting[home].append(name)
+            is_waiting = bucket.unanswered_since is not None
+            if (
+                is_waiting
+                or bucket.is_urgent()
+                or self.is_report_due(home, now)
+            ):
                 due.add(home)
         for home in sorted(due):
             self.reported_at[home] = now
-            self.report_to(home, lacking[home], now)
+            self.report_to(home, reporting[home], now)
 
-    def is_due(self, home: str, now: float) -> bool:
-        """Returns whether a home has not been told for long."""
+    def is_report_due(self, home: str, now: float) -> bool:
+        """Returns whether the regular report to a home is due."""
         return now >= self.reported_at.get(home, 0.0) + REPORT_SECONDS
 
     def report_to(self, home: str, names: list[str], now: float) -> None:
-        """Reports some customers to their home."""
-        item = messages_decisions.CustomerDemand([], [])
+        """Reports the deficits of customers to their home router."""
+        message = messages_decisions.CustomerDemand([], [])
         for name in names:
             bucket = self.buckets[name]
-            want = bucket.want()
-            bucket.tokens += min(0, want)
-            bucket.reported(now)
-            item.customers.append(messages_decisions.short_id(name))
-            item.wants.append(want)
-            item.held.append(int(bucket.tokens))
+            deficit = bucket.deficit()
+            bucket.tokens += min(0, deficit)
+            bucket.note_report(now)
+            message.customers.append(messages_decisions.short_id(name))
+            message.wants.append(deficit)
+            message.held.append(int(bucket.tokens))
         if home != self.name:
-            self.link.notify(home, item)
+            self.link.notify(home, message)
             return
-        self.take(self.answer(self.name, item))
+        self.apply_share(self.answer(self.name, message))
 
-    async def on_demand(self, router: str, item: peer.Message) -> None:
-        """Lends tokens of the customers whose home this router is."""
-        assert isinstance(item, messages_decisions.CustomerDemand)
+    async def on_demand(self, router: str, message: peer.Message) -> None:
+        """Grants tokens of the customers whose home is this router."""
+        assert isinstance(message, messages_decisions.CustomerDemand)
         self.refresh()
-        share = self.answer(router, item)
+        share = self.answer(router, message)
         if share.customers:
             self.link.notify(router, share)
 
     def answer(
-        self, router: str, item: messages_decisions.CustomerDemand
+        self, router: str, message: messages_decisions.CustomerDemand
     ) -> messages_decisions.CustomerShare:
-        """Returns the tokens that a router gets.
+        """Returns the tokens granted to a router.
 
-        A customer whose home is elsewhere is left out: while views differ,
-        each router that lent would add the whole limit once more.
+        Customers with another home are left out: while views differ, each
+        further router that granted tokens would add the whole limit once
+        more.
         """
         self.refresh_homes()
         now = trio.current_time()
         grants = messages_decisions.CustomerShare([], [])
-        rows = zip(item.customers, item.wants, item.held, strict=False)
-        for number, want, held in rows:
+        rows = zip(message.customers, message.wants, message.held, strict=False)
+        for number, deficit, held in rows:
             name = self.names.get(number)
             if name is None or self.homes[number % GROUPS] != self.name:
                 continue
             pool = self.pool(name)
             grants.customers.append(number)
-            grants.tokens.append(pool.report(router, want, held, now))
+            grants.tokens.append(pool.report(router, deficit, held, now))
         return grants
 
     def pool(self, name: str) -> pools.Pool:
-        """Returns the pool of a customer.
+        """Returns the pool of a customer, created if needed.
 
-        A new one has what came since this router became its home, as it has
-        lent nothing: full at once, it would lend anew at each change of home
-        while the leases of the home before are still about.
+        A new pool holds the tokens since this router became the home. If it
+        started full, each change of home would grant the maximum again while
+        tokens granted by the previous home are still in use.
         """
         pool = self.pools.get(name)
         if pool is None:
             limit = self.customers[name]
-            most = pools.most_tokens(limit)
+            max_tokens = pools.max_tokens(limit)
             since = self.home_since[group_of(name)]
-            pool = pools.Pool(limit.requests_per_second, most, since)
+            pool = pools.Pool(limit.requests_per_second, max_tokens, since)
             self.pools[name] = pool
         return pool
 
-    async def on_share(self, router: str, item: peer.Message) -> None:
-        """Uses the tokens that a home router lends."""
-        assert isinstance(item, messages_decisions.CustomerShare)
+    async def on_share(self, router: str, message: peer.Message) -> None:
+        """Applies tokens granted by a home router."""
+        assert isinstance(message, messages_decisions.CustomerShare)
         self.refresh()
-        self.take(item)
+        self.apply_share(message)
 
-    def take(self, item: messages_decisions.CustomerShare) -> None:
-        """Adds tokens to the buckets."""
-        rows = zip(item.customers, item.tokens, strict=False)
+    def apply_share(self, message: messages_decisions.CustomerShare) -> None:
+        """Adds granted tokens to the buckets."""
+        rows = zip(message.customers, message.tokens, strict=False)
         for number, tokens in rows:
             name = self.names.get(number, '')
             bucket = self.buckets.get(name)
             if bucket is None:
                 continue
-            most = pools.most_tokens(self.customers[name])
-            bucket.granted(tokens, most + buckets.FREE_TOKENS)
+            max_tokens = pools.max_tokens(self.customers[name])
+            bucket.add_grant(tokens, max_tokens + buckets.FREE_TOKENS)
--- a/lavenderbend/coordination/membership/__init__.py
+++ b/lavenderbend/coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which routers answer and which upstreams may get new work."""
+"""Membership: responsive routers and upstreams usable for new requests."""
 
 from lavenderbend.coordination.membership.fleet import FleetMembership
 from lavenderbend.coordination.membership.settings import MembershipSettings
--- a/lavenderbend/coordination/membership/fleet.py
+++ b/lavenderbend/coordination/membership/fleet.py
@@ -1,4 +1,4 @@
-"""The membership of a fleet, as one router sees it."""
+"""Fleet membership as one router sees it."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import interfaces
-from lavenderbend.coordination.membership import answers
 from lavenderbend.coordination.membership import candidates
+from lavenderbend.coordination.membership import gossip
 from lavenderbend.coordination.membership import list_reader
 from lavenderbend.coordination.membership import listing
-from lavenderbend.coordination.membership import news
+from lavenderbend.coordination.membership import message_handlers
+from lavenderbend.coordination.membership import piggyback
 from lavenderbend.coordination.membership import probes
 from lavenderbend.coordination.membership import reports
 from lavenderbend.coordination.membership import routers
 from lavenderbend.coordination.membership import settings as settings_lib
-from lavenderbend.coordination.membership import spread
-from lavenderbend.coordination.membership import updates
+from lavenderbend.coordination.membership import update_processor
 from lavenderbend.coordination.upstream_health import ejection
 from lavenderbend.coordination.upstream_health import health as upstream_health
 from lavenderbend.observe import logs
@@ -33,20 +33,24 @@
 State = messages.RouterState
 Kind = messages.FactKind
 
-TICK = news.TICK
-FORGET_PERIOD = 30.0  # seconds
-LEAVE_TIMEOUT = 1.0  # seconds
+TICK_SECONDS = update_processor.TICK_SECONDS
+CLEANUP_PERIOD_SECONDS = 30.0
+LEAVE_TIMEOUT_SECONDS = 1.0
 
 
 class FleetMembership(interfaces.Membership):
-    """Routers and upstreams, by the VM list, probes and announcements.
+    """Live routers and usable upstreams.
+
+    The view is built from the VM list, from probes of other routers, from
+    load reports of engines and from updates that routers gossip.
 
     Attributes:
-        vm: This router.
-        wants_report: Says which engines this router polls; None for the
-            default, the first few routers by rendezvous hashing.
-        ready: Set once the VM list was read and some peers were asked.
-        view: Counts the changes of routers or upstreams.
+        vm: VM of this router.
+        poll_filter: Returns whether this router polls an engine; None for
+            the default, the first few routers by rendezvous hashing.
+        ready: Set once the VM list is known and some peers have been asked
+            for their state.
+        view_version: Incremented on each change of routers or upstreams.
     """
 
     def __init__(
@@ -64,12 +68,12 @@
         self.upstream_client = upstream_client
         self.rng = rng
         self.settings = settings or settings_lib.MembershipSettings()
-        self.wants_report: Callable[[upstreams.Vm], bool] | None = None
+        self.poll_filter: Callable[[upstreams.Vm], bool] | None = None
         self.ready = trio.Event()
-        self.view = 0
+        self.view_version = 0
         self.changed = trio.Event()
-        self.pokes: list[str] = []
-        self.poked = trio.Event()
+        self.pending_checks: list[str] = []
+        self.check_requested = trio.Event()
         self.table = routers.RouterTable(vm)
         self.listing = listing.Listing(self.settings)
         observer = f'{vm.id}#{rng.getrandbits(20):x}'
@@ -78,73 +82,77 @@
         )
         self.ejector = ejection.Ejector(self.settings.ejection)
         self.candidates = candidates.Candidates(self)
-        self.queue = updates.UpdateQueue()
-        self.spreader = spread.Spreader(
-            link, rng, self.settings, self.table.answering
+        self.piggyback = piggyback.PiggybackQueue()
+        self.gossiper = gossip.Gossiper(
+            link, rng, self.settings, self.table.responsive_ids
         )
         self.prober = probes.Prober(self)
         self.reader = list_reader.ListReader(self)
         self.poller = reports.ReportPoller(self)
-        self.news = news.News(self)
-        self.answers = answers.Answers(self)
+        self.processor = update_processor.UpdateProcessor(self)
+        self.handlers = message_handlers.MessageHandlers(self)
 
-    # what other parts ask
+    # queries
 
     def routers(self) -> tuple[str, ...]:
-        """Returns the ids of the live routers, this one among them."""
+        """Returns the ids of the live routers, including this one."""
         return self.candidates.ordered_ids()
 
     def region_routers(self) -> tuple[str, ...]:
-        """Returns the live routers of this router's region."""
+        """Returns the ids of the live routers in this router's region."""
         return self.candidates.region_ids()
 
     def upstreams(self, service: str) -> tuple[upstreams.Vm, ...]:
-        """Returns the upstreams of a service that may get new work."""
-        return self.candidates.of_service(service)
+        """Returns the upstreams of a service usable for new requests."""
+        return self.candidates.usable(service)
 
     def report(self, upstream: str) -> upstreams.LoadReport | None:
         """Returns the last load report of an upstream, if any."""
         return self.poller.reports.get(upstream)
 
     def report_at(self, upstream: str) -> float:
-        """Returns the router clock at which that report was taken."""
-        return self.poller.taken_at.get(upstream, -math.inf)
+        """Returns when the last load report was taken, by the router clock.
+
+        Minus infinity if there is none.
+        """
+        return self.poller.reported_at.get(upstream, -math.inf)
 
     async def wait_changed(self) -> None:
-        """Waits until routers or upstreams change."""
+        """Waits until the routers or the upstreams change."""
         await self.changed.wait()
 
     def all_vms(self) -> tuple[upstreams.Vm, ...]:
-        """Returns every VM that is listed, and routers that answer."""
+        """Returns all listed VMs and the responsive routers not listed."""
         vms = {vm.id: vm for vm in self.listing.vms()}
-        for item in self.table:
-            if item.answers:
-                vms.setdefault(item.vm.id, item.vm)
+        for router in self.table:
+            if router.is_responsive:
+                vms.setdefault(router.vm.id, router.vm)
         vms[self.vm.id] = self.vm
         return tuple(vms[vm_id] for vm_id in sorted(vms))
 
     def router_state(self, router_id: str) -> str:
-        """Returns what is believed of a router, for operators."""
+        """Returns the state of a router as text for operators."""
         if router_id == self.vm.id:
             return self.table.state.name.lower()
-        item = self.table.get(router_id)
-        if item is None:
+        router = self.table.get(router_id)
+        if router is None:
             return 'not known'
-        word = 'not heard of yet'
-        if item.state is not None:
-            word = item.state.name.lower()
-        return word if item.listed else f'{word}, not in the VM list'
+        state = 'not heard of yet'
+        if router.state is not None:
+            state = router.state.name.lower()
+        return state if router.listed else f'{state}, not in the VM list'
 
     def explain(self, upstream_id: str) -> str:
-        """Returns why an upstream is a candidate, or why it is not."""
+        """Returns why an upstream is or is not usable for new requests."""
         return self.candidates.explain(upstream_id)
 
-    # what other parts tell
+    # notifications from other components
 
     def note_result(self, upstream_id: str, error: Exception | None) -> None:
-        """Takes the result of an attempt at an upstream.
+        """Records the result of an attempt at an upstream.
 
-        Refusals are no failures: a full engine is not a broken one.
+        A refusal counts as a success, because an engine that is full is
+        not faulty.
         """
         if error is None or isinstance(error, errors.UpstreamRefused):
             self.ejector.note_success(upstream_id)
@@ -156,107 +164,109 @@
                 'upstream_ejected', router=self.vm.id, upstream=upstream_id
             )
             self.candidates.refresh()
-            self.touch()
+            self.notify_changed()
         if isinstance(error, errors.UpstreamUnreachable):
-            self.poke(upstream_id)
+            self.request_check(upstream_id)
 
     def note_draining(self, upstream_id: str) -> None:
-        """Takes an upstream's own word that it is leaving."""
+        """Records that an upstream announced that it is draining."""
         report = self.report(upstream_id)
         instance = self.facts.instances.get(upstream_id, '')
         if report is not None:
             instance = report.instance
-        self.news.observe(upstream_id, Kind.DRAINING, instance)
+        self.processor.observe(upstream_id, Kind.DRAINING, instance)
 
     async def leave(self) -> None:
-        """Tells the other routers that this one takes no part any more."""
+        """Announces to the other routers that this one leaves the fleet."""
         self.table.state = State.LEFT
-        self.news.put(self.vm.id, self.table.own_update())
-        self.spreader.flush(everybody=True)
-        self.touch()
-        # an answer to a later request shows that the notice has arrived
-        others = self.table.answering()
+        self.processor.disseminate(self.vm.id, self.table.own_update())
+        self.gossiper.flush(to_all=True)
+        self.notify_changed()
+        # notices to a peer arrive in order, so the answer to a later probe
+        # shows that the announcement has arrived
+        others = self.table.responsive_ids()
         count = min(self.settings.indirect_probes, len(others))
-        with trio.move_on_after(LEAVE_TIMEOUT):
+        with trio.move_on_after(LEAVE_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 for name in self.rng.sample(others, count):
-                    nursery.start_soon(self.prober.reaches, name)
+                    nursery.start_soon(self.prober.is_reachable, name)
 
-    # the tasks
+    # background tasks
 
     async def run(self) -> None:
-        """Keeps the view until cancelled."""
+        """Maintains the view until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.spreader.run)
+            nursery.start_soon(self.gossiper.run)
             nursery.start_soon(self.reader.run)
-            nursery.start_soon(self.tick)
-            nursery.start_soon(self.forget)
+            nursery.start_soon(self.run_expiry)
+            nursery.start_soon(self.run_cleanup)
             await self.prober.join()
             self.ready.set()
             nursery.start_soon(self.prober.run)
             nursery.start_soon(self.poller.run)
-            nursery.start_soon(self.check_poked)
+            nursery.start_soon(self.run_checks)
 
-    async def tick(self) -> None:
-        """Sees to all that ends by time."""
+    async def run_expiry(self) -> None:
+        """Applies expiry of suspicions, unlisted routers and exclusions."""
         while True:
-            await trio.sleep(TICK)
-            self.news.end_suspicions()
-            self.news.end_unlisted()
+            await trio.sleep(TICK_SECONDS)
+            self.processor.expire_suspicions()
+            self.processor.remove_unlisted()
             if self.candidates.refresh():
-                self.touch()
+                self.notify_changed()
 
-    async def forget(self) -> None:
-        """Drops what is kept of upstreams that are gone."""
+    async def run_cleanup(self) -> None:
+        """Removes the state of upstreams that are no longer listed."""
         while True:
-            await trio.sleep(FORGET_PERIOD)
-            known = [vm.id for vm in self.listing.vms()]
-            self.facts.forget(known)
-            self.ejector.forget(known)
+            await trio.sleep(CLEANUP_PERIOD_SECONDS)
+            listed = [vm.id for vm in self.listing.vms()]
+            self.facts.remove_expired(listed)
+            self.ejector.remove_unlisted(listed)
 
-    async def check_poked(self) -> None:
-        """Looks at upstreams that attempts did not reach."""
+    async def run_checks(self) -> None:
+        """Checks upstreams that an attempt did not reach."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self.poked.wait()
-                self.poked = trio.Event()
-                names = self.pokes
-                self.pokes = []
+                await self.check_requested.wait()
+                self.check_requested = trio.Event()
+                names = self.pending_checks
+                self.pending_checks = []
                 for name in names:
                     nursery.start_soon(self.check_upstream, name)
 
     async def check_upstream(self, upstream_id: str) -> None:
-        """Looks at one upstream that an attempt did not reach."""
+        """Checks one upstream that an attempt did not reach."""
         vm = self.listed_vm(upstream_id)
         if vm is None:
             return
         if vm.kind is upstreams.UpstreamKind.ENGINE:
-            await self.poller.check(upstream_id)
+            await self.poller.check_now(upstream_id)
             return
         state = self.ejector.state(upstream_id)
-        # plain services have no report; two failures in a row are told
-        if state.in_row >= self.settings.report_failures:
-            self.news.observe(upstream_id, Kind.REFUSED)
-
-    def poke(self, upstream_id: str) -> None:
-        """Has an upstream looked at soon."""
-        self.pokes.append(upstream_id)
-        self.poked.set()
-
-    # changes
-
-    def touch(self) -> None:
-        """Tells waiters that routers or upstreams have changed."""
-        self.view += 1
-        self.candidates.forget()
+        # services have no load report to fetch, so consecutive failures are
+        # announced instead
+        if state.consecutive_failures >= self.settings.report_failures:
+            self.processor.observe(upstream_id, Kind.REFUSED)
+
+    def request_check(self, upstream_id: str) -> None:
+        """Schedules a check of an upstream."""
+        self.pending_checks.append(upstream_id)
+        self.check_requested.set()
+
+    # changes of the view
+
+    def notify_changed(self) -> None:
+        """Wakes tasks that wait for a change of routers or upstreams."""
+        self.view_version += 1
+        self.candidates.invalidate()
         self.changed.set()
         self.changed = trio.Event()
 
     def listed_vm(self, vm_id: str) -> upstreams.Vm | None:
-        """Returns a listed VM."""
-        line = self.listing.lines.get(vm_id)
-        return None if line is None else line.vm
+        """Returns a VM of the VM list, None if it is not listed."""
+        entry = self.listing.entries.get(vm_id)
+        return None if entry is None else entry.vm
 
     def has_list(self) -> bool:
-        """Returns whether the VM list is known, by a read or by a peer."""
-        return self.reader.read.is_set() or bool(self.listing.lines)
+        """Returns whether the VM list is known, by a read or from a peer."""
+        return self.reader.first_read.is_set() or bool(self.listing.entries)
--- a/lavenderbend/coordination/membership/listing.py
+++ b/lavenderbend/coordination/membership/listing.py
@@ -1,4 +1,4 @@
-"""The VM list as this router has it, merged from reads and from peers."""
+"""The VM list as known to this router, merged from reads and from peers."""
 
 from __future__ import annotations
 
@@ -17,110 +17,117 @@
 
     from lavenderbend.coordination.membership import settings as settings_lib
 
-# a VM that was gone may be listed again after this many seconds: its
-# absence was a fault of the list
-GONE_HOLD = 30.0
+# a VM that was gone is accepted again after this time; its absence is then
+# taken as a fault of the list
+GONE_RETENTION_SECONDS = 30.0
 
 
 @attrs.define
-class Line:
-    """One VM and how far it has come in the list.
+class ListEntry:
+    """A VM and its state in the list.
 
     Attributes:
         vm: The VM.
-        state: Its `ListState`, which only moves forward.
-        since: Router clock at which it came into the state.
-        missed: Reads in a row that did not show it.
-        confirmed: Whether the list itself has shown it to this router.
-        live_since: Router clock since which all reads show it live though
-            it was leaving.
+        state: Its `ListState`, which normally only advances.
+        since: Router clock at which it entered the state.
+        missed_reads: Consecutive reads that did not contain it.
+        confirmed: Whether a read by this router has contained it.
+        live_since: Router clock since which all reads show it as live
+            although its state is leaving; None if it is not so.
     """
 
     vm: upstreams.Vm
     state: messages.ListState
     since: float
-    missed: int = 0
+    missed_reads: int = 0
     confirmed: bool = False
     live_since: float | None = None
 
 
 class Listing:
-    """What the VM list says, as far as this router knows.
+    """VM list of this router.
 
-    Reads of the list are late by different times on different routers, and
-    carry no version. But ids are unique for ever, so a VM only moves from
-    live to leaving to gone, and taking the furthest state makes all
-    routers agree in whatever order they hear of it.
+    Reads of the list lag by different times on different routers and carry
+    no version. VM ids are never reused, so a VM only advances from live to
+    leaving to gone. Keeping the most advanced state makes all routers
+    converge, in whatever order they receive the changes.
 
     Attributes:
-        lines: By VM id, the gone ones for `GONE_HOLD` seconds.
-        read_at: Router clock of the last good read, -inf before one.
-        distrusted: Reads that lost too many VMs at once.
+        entries: By VM id; gone VMs are kept for `GONE_RETENTION_SECONDS`.
+        read_at: Router clock of the last accepted read, -inf before it.
+        rejected_reads: Number of reads in which too many VMs were missing.
+        loss_since: Router clock of the first of the latest such reads, None
+            after a plausible one.
+        cached_vms: Result of `vms`, None after a change.
+        last_read: The last accepted read.
+        has_unconfirmed: Whether another read of the same list may change an
+            entry; False only once `is_confirmed` has found none.
     """
 
     def __init__(self, settings: settings_lib.MembershipSettings) -> None:
         self.settings = settings
-        self.lines: dict[str, Line] = {}
+        self.entries: dict[str, ListEntry] = {}
         self.read_at = -math.inf
-        self.distrusted = 0
+        self.rejected_reads = 0
         self.loss_since: float | None = None
-        self.kept: tuple[upstreams.Vm, ...] | None = None
+        self.cached_vms: tuple[upstreams.Vm, ...] | None = None
         self.last_read: Iterable[upstreams.Vm] | None = None
-        self.unsettled = True
+        self.has_unconfirmed = True
 
     def vms(self) -> tuple[upstreams.Vm, ...]:
-        """Returns the VMs that are not gone, with their states."""
-        if self.kept is None:
-            self.kept = tuple(
-                line.vm
-                for line in self.lines.values()
-                if line.state is not messages.ListState.GONE
+        """Returns the VMs that are not gone."""
+        if self.cached_vms is None:
+            self.cached_vms = tuple(
+                entry.vm
+                for entry in self.entries.values()
+                if entry.state is not messages.ListState.GONE
             )
-        return self.kept
+        return self.cached_vms
 
     def state(self, vm_id: str) -> messages.ListState | None:
-        """Returns the state of a VM, None if it was never listed."""
-        line = self.lines.get(vm_id)
-        return None if line is None else line.state
+        """Returns the list state of a VM, None if it has no entry."""
+        entry = self.entries.get(vm_id)
+        return None if entry is None else entry.state
 
     def merge_read(
         self, read: Iterable[upstreams.Vm]
     ) -> list[messages.VmChange]:
-        """Takes a read of the list; returns what it changed."""
-        if read is self.last_read and self.is_settled():
-            # unchanged, and nothing waits for a second read to confirm it
+        """Merges a read of the list; returns the resulting changes."""
+        if read is self.last_read and self.is_confirmed():
+            # unchanged, and no entry needs a second read as confirmation
             self.read_at = trio.current_time()
             return []
         shown = {vm.id: vm for vm in read}
-        if self.is_distrusted(shown):
+        if self.is_implausible(shown):
             return []
         self.last_read = read
         self.read_at = trio.current_time()
         changes = []
         for vm in shown.values():
             changes.extend(self.merge_shown(vm))
-        for vm_id, line in list(self.lines.items()):
+        for vm_id, entry in list(self.entries.items()):
             if vm_id not in shown:
-                changes.extend(self.merge_missing(line))
+                changes.extend(self.merge_missing(entry))
         return changes
 
-    def is_settled(self) -> bool:
-        """Returns whether the last read has confirmed every line."""
-        if not self.unsettled:
+    def is_confirmed(self) -> bool:
+        """Returns whether no entry needs another read as confirmation."""
+        if not self.has_unconfirmed:
             return True
-        self.unsettled = any(map(is_open, self.lines.values()))
-        return not self.unsettled
+        self.has_unconfirmed = any(map(is_unconfirmed, self.entries.values()))
+        return not self.has_unconfirmed
 
-    def is_distrusted(self, shown: dict[str, upstreams.Vm]) -> bool:
-        """Returns whether a read lost too many VMs to be believed.
+    def is_implausible(self, shown: dict[str, upstreams.Vm]) -> bool:
+        """Returns whether a read lacks too many VMs to be accepted.
 
-        The list has been seen empty or cut short while it restarts. Were
-        that believed, the router would drop working upstreams. A loss that
-        large is believed only once reads have said so for long.
+        While the list service restarts, it may answer with an empty or
+        truncated list. Accepting that would drop working upstreams. A loss
+        that large is accepted once reads have shown it for the grace period
+        of unlisted routers.
         """
         known = self.vms()
         lost = sum(1 for vm in known if vm.id not in shown)
-        limit = self.settings.list_drop_share * len(known)
+        limit = self.settings.max_list_drop_fraction * len(known)
         if lost <= max(limit, 1.0):
             self.loss_since = None
             return False
@@ -128,115 +135,118 @@
         if self.loss_since is None:
             self.loss_since = now
             logs.change('vm_list_distrusted', lost=lost, known=len(known))
-        self.distrusted += 1
-        return now - self.loss_since <= self.settings.unlisted_hold
+        self.rejected_reads += 1
+        return now - self.loss_since <= self.settings.unlisted_grace
 
     def merge_shown(self, vm: upstreams.Vm) -> list[messages.VmChange]:
-        """Takes one VM that the list shows."""
+        """Merges a VM that a read contains."""
         state = list_state(vm)
         change = to_change(vm, state)
         changed = self.merge(change)
-        line = self.lines[vm.id]
-        line.missed = 0
-        line.confirmed = True
-        if self.is_called_off(line, state):
-            line.vm = vm
-            line.state = state
-            line.since = trio.current_time()
-            self.kept = None
+        entry = self.entries[vm.id]
+        entry.missed_reads = 0
+        entry.confirmed = True
+        if self.is_leaving_withdrawn(entry, state):
+            entry.vm = vm
+            entry.state = state
+            entry.since = trio.current_time()
+            self.cached_vms = None
             return [change]
-        if line.vm != vm and line.state is state:
-            # only the state moves; other fields of a VM are taken as shown
-            line.vm = vm
-            self.kept = None
+        if entry.vm != vm and entry.state is state:
+            # only the state has an order; the other fields are taken over
+            entry.vm = vm
+            self.cached_vms = None
         return [change] if changed else []
 
-    def is_called_off(self, line: Line, state: messages.ListState) -> bool:
-        """Returns whether a VM that was leaving stays after all.
+    def is_leaving_withdrawn(
+        self, entry: ListEntry, state: messages.ListState
+    ) -> bool:
+        """Returns whether the platform withdrew the leaving of a VM.
 
-        One read that shows it live is an older copy of the list. When all
-        reads have for longer than any copy lags, it has been called off;
-        without this the VM would get nothing until it is replaced.
+        A single read that shows a leaving VM as live may be an older copy
+        of the list. Once all reads have shown it as live for longer than
+        any copy lags, the leaving was withdrawn. Without this rule the VM
+        would get no requests until it is replaced.
         """
-        if line.state is not messages.ListState.LEAVING or (
+        if entry.state is not messages.ListState.LEAVING or (
             state is not messages.ListState.LIVE
         ):
-            line.live_since = None
+            entry.live_since = None
             return False
         now = trio.current_time()
-        if line.live_since is None:
-            line.live_since = now
-        return now - line.live_since > GONE_HOLD
+        if entry.live_since is None:
+            entry.live_since = now
+        return now - entry.live_since > GONE_RETENTION_SECONDS
 
-    def merge_missing(self, line: Line) -> list[messages.VmChange]:
-        """Takes one VM that the list does not show."""
+    def merge_missing(self, entry: ListEntry) -> list[messages.VmChange]:
+        """Merges the absence of a VM from a read."""
         now = trio.current_time()
-        if line.state is messages.ListState.GONE:
-            if now - line.since > GONE_HOLD:
-                del self.lines[line.vm.id]
+        if entry.state is messages.ListState.GONE:
+            if now - entry.since > GONE_RETENTION_SECONDS:
+                del self.entries[entry.vm.id]
             return []
-        if not line.confirmed and now - line.since < GONE_HOLD:
-            # a peer has read a newer list than this one; it is not missing
+        if not entry.confirmed and now - entry.since < GONE_RETENTION_SECONDS:
+            # a peer announced it from a newer copy of the list
             return []
-        line.missed += 1
-        self.unsettled = True
-        # one read without a VM may be a read during the list's own restart
-        if line.missed < 2:
+        entry.missed_reads += 1
+        self.has_unconfirmed = True
+        # a single read without a VM may come from a restarting list service
+        if entry.missed_reads < 2:
             return []
-        change = to_change(line.vm, messages.ListState.GONE)
+        change = to_change(entry.vm, messages.ListState.GONE)
         self.merge(change)
         return [change]
 
     def merge(self, change: messages.VmChange) -> bool:
-        """Takes a change from a read or a peer; returns whether it is new.
+        """Merges a change from a read or a peer; returns whether it is new.
 
         Raises:
-            ValueError: The change has values that are none of ours.
+            ValueError: The change has unknown enum values.
         """
         state = messages.ListState(change.state)
-        self.unsettled = True
-        line = self.lines.get(change.vm)
+        self.has_unconfirmed = True
+        entry = self.entries.get(change.vm)
         now = trio.current_time()
-        if line is None:
+        if entry is None:
             vm = from_change(change)
-            self.lines[change.vm] = Line(vm, state, now)
-            self.kept = None
+            self.entries[change.vm] = ListEntry(vm, state, now)
+            self.cached_vms = None
             return True
-        if line.state is messages.ListState.GONE and now - line.since < (
-            GONE_HOLD
+        if entry.state is messages.ListState.GONE and now - entry.since < (
+            GONE_RETENTION_SECONDS
         ):
             return False
-        if state <= line.state is not messages.ListState.GONE:
+        if state <= entry.state is not messages.ListState.GONE:
             return False
-        if state is line.state:
+        if state is entry.state:
             return False
-        line.vm = from_change(change)
-        self.kept = None
-        line.state = state
-        line.since = now
-        line.missed = 0
+        entry.vm = from_change(change)
+        self.cached_vms = None
+        entry.state = state
+        entry.since = now
+        entry.missed_reads = 0
         return True
 
 
-def is_open(line: Line) -> bool:
-    """Returns whether another read of the same list may change a line."""
-    if line.state is messages.ListState.GONE:
-        # the list shows it again, and it is held back for a while
-        return line.missed == 0
-    if line.live_since is not None:
+def is_unconfirmed(entry: ListEntry) -> bool:
+    """Returns whether another read of the same list may change an entry."""
+    if entry.state is messages.ListState.GONE:
+        # a read contains it again; it is accepted after the retention time
+        return entry.missed_reads == 0
+    if entry.live_since is not None:
         return True
-    return line.missed > 0 or not line.confirmed
+    return entry.missed_reads > 0 or not entry.confirmed
 
 
 def list_state(vm: upstreams.Vm) -> messages.ListState:
-    """Returns the state of a VM that the list shows."""
+    """Returns the list state of a VM that a read contains."""
     if vm.state is upstreams.VmState.LEAVING:
         return messages.ListState.LEAVING
     return messages.ListState.LIVE
 
 
 def to_change(vm: upstreams.Vm, state: messages.ListState) -> messages.VmChange:
-    """Returns the message of a VM's change."""
+    """Returns the message that announces a state of a VM."""
     return messages.VmChange(
         vm=vm.id,
         state=int(state),
@@ -250,10 +260,10 @@
 
 
 def from_change(change: messages.VmChange) -> upstreams.Vm:
-    """Returns the VM of a change.
+    """Returns the VM that a change describes.
 
     Raises:
-        ValueError: The change has values that are none of ours.
+        ValueError: The change has an unknown upstream kind.
     """
     state = upstreams.VmState.LIVE
     if change.state != messages.ListState.LIVE:
--- a/lavenderbend/coordination/membership/probes.py
+++ b/lavenderbend/coordination/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes of other routers, direct and through others."""
+"""Direct and indirect probes of other routers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 State = messages.RouterState
 
-# every so many periods a router that is believed dead is probed too
+# a dead router is probed too in each period whose number is a multiple of this
 DEAD_PROBE_PERIODS = 5
-SYNC_PEERS = 3
-JOIN_PERIOD = 0.1  # seconds
+SYNC_PEERS = 3  # peers asked for their whole state
+JOIN_RETRY_SECONDS = 0.1
 
 PROBES = metrics.counter(
     'lavenderbend_membership_probes_total',
@@ -28,21 +28,21 @@
 
 
 class Prober:
-    """Probes one random router a period.
+    """Probes one random router in each period.
 
     Attributes:
-        fleet: The membership.
-        order: Routers still to be probed in this round.
-        period: Counts the periods.
+        fleet: Membership whose routers are probed.
+        round_targets: Routers still to be probed in this round.
+        period: Number of the current period.
     """
 
     def __init__(self, fleet: fleet_lib.FleetMembership) -> None:
         self.fleet = fleet
-        self.order: list[str] = []
+        self.round_targets: list[str] = []
         self.period = 0
 
     async def run(self) -> None:
-        """Probes until cancelled."""
+        """Sends probes until cancelled."""
         settings = self.fleet.settings
         await trio.sleep(self.fleet.rng.uniform(0, settings.probe_period))
         async with trio.open_nursery() as nursery:
@@ -53,62 +53,64 @@
                 await trio.sleep(settings.probe_period)
 
     def next_targets(self) -> list[str]:
-        """Returns whom to probe in this period."""
+        """Returns the routers to probe in this period."""
         targets = []
         target = self.next_in_round()
         if target is not None:
             targets.append(target)
         if self.period % DEAD_PROBE_PERIODS == 0:
             dead = [
-                item.vm.id
-                for item in self.fleet.table
-                if item.state is State.DEAD and item.listed
+                router.vm.id
+                for router in self.fleet.table
+                if router.state is State.DEAD and router.listed
             ]
             if dead:
                 targets.append(self.fleet.rng.choice(dead))
         return targets
 
     def next_in_round(self) -> str | None:
-        """Returns the next router of a shuffled round over all.
+        """Returns the next router of a shuffled round over all routers.
 
-        Rounds bound the time until each router is probed, which plain
-        chance would not.
+        Rounds bound the time until each router is probed, which independent
+        random choices would not.
         """
         for _ in range(2):
-            while self.order:
-                target = self.order.pop()
+            while self.round_targets:
+                target = self.round_targets.pop()
                 if self.is_probed(self.fleet.table.get(target)):
                     return target
-            self.order = [
-                item.vm.id for item in self.fleet.table if self.is_probed(item)
+            self.round_targets = [
+                router.vm.id
+                for router in self.fleet.table
+                if self.is_probed(router)
             ]
-            self.fleet.rng.shuffle(self.order)
+            self.fleet.rng.shuffle(self.round_targets)
         return None
 
-    def is_probed(self, item: routers_lib.Router | None) -> bool:
+    def is_probed(self, router: routers_lib.Router | None) -> bool:
         """Returns whether a router is probed in each round."""
-        if item is None:
+        if router is None:
             return False
-        return item.answers or (item.state is None and item.listed)
+        return router.is_responsive or (router.state is None and router.listed)
 
     async def probe(self, target: str) -> None:
-        """Probes a router, then through others; suspects it if in vain."""
-        if await self.reaches(target):
+        """Probes a router directly, then indirectly, and else suspects it."""
+        if await self.is_reachable(target):
             PROBES.inc({'result': 'direct'})
-            self.fleet.news.note_answer(target)
+            self.fleet.processor.note_responsive(target)
             return
-        item = self.fleet.table.get(target)
-        if item is None or not item.answers:
+        router = self.fleet.table.get(target)
+        if router is None or not router.is_responsive:
             return
-        if await self.reaches_through_others(target):
+        if await self.is_reachable_indirectly(target):
             PROBES.inc({'result': 'indirect'})
             return
         PROBES.inc({'result': 'none'})
-        self.fleet.news.suspect(target)
+        self.fleet.processor.suspect(target)
 
-    async def reaches(self, target: str) -> bool:
+    async def is_reachable(self, target: str) -> bool:
         """Returns whether a router answers a direct probe."""
-        ping = messages.Ping(self.fleet.news.updates_for(target))
+        ping = messages.Ping(self.fleet.processor.updates_for(target))
         try:
             answer = await self.fleet.link.request(
                 target, ping, self.fleet.settings.probe_timeout
@@ -116,36 +118,42 @@
         except errors.PeerError:
             return False
         if isinstance(answer, messages.Ack):
-            self.fleet.news.take_updates(answer.updates)
+            self.fleet.processor.merge_updates(answer.updates)
         return True
 
-    async def reaches_through_others(self, target: str) -> bool:
-        """Returns whether one of some others reaches a router.
+    async def is_reachable_indirectly(self, target: str) -> bool:
+        """Returns whether one of several other routers reaches a router.
 
-        A cut between two routers only, or packets lost on one path, would
-        have each believe the other dead. Others still reach both, so
-        asking them first keeps a working router in everybody's view.
+        If only the path between two routers is cut or loses packets, each
+        would believe the other dead although the other routers reach both.
+        Asking some of those first keeps a working router in all views.
         """
         others = [
-            name for name in self.fleet.table.answering() if name != target
+            name for name in self.fleet.table.responsive_ids() if name != target
         ]
         count = min(self.fleet.settings.indirect_probes, len(others))
-        found: list[bool] = []
+        reachable: list[bool] = []
         async with trio.open_nursery() as nursery:
             for helper in self.fleet.rng.sample(others, count):
-                nursery.start_soon(self.ask, helper, target, found, nursery)
-        return bool(found)
-
-    async def ask(
+                nursery.start_soon(
+                    self.request_indirect_probe,
+                    helper,
+                    target,
+                    reachable,
+                    nursery,
+                )
+        return bool(reachable)
+
+    async def request_indirect_probe(
         self,
         helper: str,
         target: str,
-        found: list[bool],
+        reachable: list[bool],
         nursery: trio.Nursery,
     ) -> None:
-        """Asks another router to probe in our place."""
+        """Asks another router to probe the target for this one."""
         message = messages.PingThrough(
-            target, self.fleet.news.updates_for(helper)
+            target, self.fleet.processor.updates_for(helper)
         )
         try:
             await self.fleet.link.request(
@@ -153,28 +161,28 @@
             )
         except errors.PeerError:
             return
-        found.append(True)
+        reachable.append(True)
         nursery.cancel_scope.cancel()
 
     async def join(self) -> None:
-        """Waits for the VM list, or for a peer that knows it, and syncs.
+        """Synchronizes with peers until the VM list is known.
 
-        A router that starts while the list is down knows nobody. The
-        others still have it in their lists and probe it, and from the
-        first of them it learns the list and the fleet.
+        A router that starts while the list service is down knows no peers.
+        The others still have it in their lists and probe it, and it learns
+        the list and the fleet from the first of them.
         """
         while True:
             await self.sync()
             if self.fleet.has_list():
                 return
-            await trio.sleep(JOIN_PERIOD)
+            await trio.sleep(JOIN_RETRY_SECONDS)
 
     async def sync(self) -> None:
-        """Learns from some routers all that they believe."""
+        """Fetches the whole membership state of some routers."""
         names = [
-            item.vm.id
-            for item in self.fleet.table
-            if item.listed or item.answers
+            router.vm.id
+            for router in self.fleet.table
+            if router.listed or router.is_responsive
         ]
         count = min(SYNC_PEERS, len(names))
         async with trio.open_nursery() as nursery:
@@ -182,15 +190,15 @@
                 nursery.start_soon(self.sync_with, name)
 
     async def sync_with(self, name: str) -> None:
-        """Learns from one router all that it believes."""
-        ask = messages.SyncAsk(
-            self.fleet.news.updates_for(name), not self.fleet.has_list()
+        """Fetches the whole membership state of one router."""
+        request = messages.SyncAsk(
+            self.fleet.processor.updates_for(name), not self.fleet.has_list()
         )
         timeout = self.fleet.settings.indirect_timeout
         try:
-            answer = await self.fleet.link.request(name, ask, timeout)
+            answer = await self.fleet.link.request(name, request, timeout)
         except errors.PeerError:
             return
         if isinstance(answer, messages.SyncAnswer):
-            self.fleet.news.take_updates(answer.updates, spread=False)
-            self.fleet.news.note_answer(name)
+            self.fleet.processor.merge_updates(answer.updates, relay=False)
+            self.fleet.processor.note_responsive(name)
--- a/lavenderbend/coordination/membership/routers.py
+++ b/lavenderbend/coordination/membership/routers.py
@@ -1,4 +1,4 @@
-"""What this router believes of the others, by incarnation numbers."""
+"""States of the other routers, ordered by incarnation numbers."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @attrs.define(eq=False)
 class Router:
-    """A router and what is believed of it.
+    """A router and its state in this router's view.
 
     Attributes:
-        vm: Its VM, its peer address in it.
-        state: What is believed; None until it was first heard of.
-        incarnation: The incarnation that the belief is about.
-        suspected_for: Seconds of this router's running time since it was
-            suspected.
-        listed: Whether the VM list shows it.
-        unlisted_since: Router clock since which it does not.
+        vm: Its VM, with its peer address.
+        state: Its state; None until a first message of it or about it.
+        incarnation: Incarnation that the state refers to.
+        suspected_for: Seconds since it was suspected, counted only while
+            this process runs.
+        listed: Whether the VM list contains it.
+        unlisted_since: Router clock since which the list does not.
     """
 
     vm: upstreams.Vm
@@ -37,18 +37,20 @@
     unlisted_since: float = 0.0
 
     @property
-    def answers(self) -> bool:
-        """Whether it is believed to answer; suspected ones still are."""
+    def is_responsive(self) -> bool:
+        """Whether it is alive or suspected."""
         return self.state is State.ALIVE or self.state is State.SUSPECT
 
 
 class RouterTable:
-    """The other routers.
+    """States of this router and of the others.
 
     Attributes:
+        vm: VM of this router.
         name: Id of this router.
-        routers: By id, this router not among them.
-        incarnation: Of this router.
+        routers: The other routers by id.
+        incarnation: Incarnation of this router.
+        state: State that this router announces of itself.
     """
 
     def __init__(self, vm: upstreams.Vm) -> None:
@@ -62,31 +64,34 @@
         return iter(self.routers.values())
 
     def get(self, router_id: str) -> Router | None:
-        """Returns a router, None if it was never heard of."""
+        """Returns a router, None if it is not known."""
         return self.routers.get(router_id)
 
-    def answering(self) -> list[str]:
-        """Returns the routers that are believed to answer."""
-        return [item.vm.id for item in self if item.answers]
+    def responsive_ids(self) -> list[str]:
+        """Returns the ids of the routers that are alive or suspected."""
+        return [router.vm.id for router in self if router.is_responsive]
 
     def own_update(self) -> messages.RouterUpdate:
-        """Returns what this router says of itself."""
+        """Returns the update that announces this router."""
         return to_update(self.vm, self.state, self.incarnation)
 
-    def update_of(self, item: Router) -> messages.RouterUpdate:
-        """Returns what is believed of a router."""
-        return to_update(item.vm, item.state, item.incarnation)
+    def update_of(self, router: Router) -> messages.RouterUpdate:
+        """Returns the update that announces the state of a router."""
+        return to_update(router.vm, router.state, router.incarnation)
 
     def refute(self, update: messages.RouterUpdate) -> bool:
-        """Answers what others say of this router; True if it must speak.
+        """Processes an update about this router itself.
 
-        A router that was paused, or cut off for a while, comes back to a
-        fleet that believes it dead. Only the router itself counts its
-        incarnation up, so its word goes before all that was said of an
+        A router that was paused or cut off for a while returns to a fleet
+        that believes it dead. Only the router itself increments its
+        incarnation, so its announcement supersedes all updates about an
         earlier incarnation.
 
+        Returns:
+            Whether this router must announce its state again.
+
         Raises:
-            ValueError: The update has values that are none of ours.
+            ValueError: The update has an unknown state.
         """
         state = State(update.state)
         if update.incarnation < self.incarnation:
@@ -96,46 +101,46 @@
         if self.state is State.LEFT:
             return state is not State.LEFT
         if state is State.ALIVE:
-            # an earlier process under this id; this one goes before it
+            # from an earlier process of this id; take over its incarnation
             self.incarnation = max(self.incarnation, update.incarnation)
             return False
         self.incarnation = update.incarnation + 1
         return True
 
     def merge(self, update: messages.RouterUpdate) -> bool:
-        """Takes what was said of another router; True if it is news.
+        """Merges an update about another router; returns whether it is new.
 
         Raises:
-            ValueError: The update has values that are none of ours.
+            ValueError: The update has an unknown state.
         """
         state = State(update.state)
-        item = self.routers.get(update.router)
-        if item is None:
+        router = self.routers.get(update.router)
+        if router is None:
             if not update.host:
                 return False
-            item = Router(from_update(update))
-            self.routers[update.router] = item
-        if not is_news(item, state, update.incarnation):
+            router = Router(from_update(update))
+            self.routers[update.router] = router
+        if not supersedes(router, state, update.incarnation):
             return False
-        if update.host and not item.listed:
-            item.vm = from_update(update)
-        item.state = state
-        item.incarnation = update.incarnation
-        item.suspected_for = 0.0
+        if update.host and not router.listed:
+            router.vm = from_update(update)
+        router.state = state
+        router.incarnation = update.incarnation
+        router.suspected_for = 0.0
         return True
 
 
-def is_news(item: Router, state: State, incarnation: int) -> bool:
-    """Returns whether an update goes before what is believed."""
-    if item.state is None:
+def supersedes(router: Router, state: State, incarnation: int) -> bool:
+    """Returns whether an update supersedes the state of a router."""
+    if router.state is None:
         return True
-    return (incarnation, state) > (item.incarnation, item.state)
+    return (incarnation, state) > (router.incarnation, router.state)
 
 
 def to_update(
     vm: upstreams.Vm, state: State | None, incarnation: int
 ) -> messages.RouterUpdate:
-    """Returns an update, with the address where it may be needed."""
+    """Returns an update; with the address if the router is alive."""
     state = State.ALIVE if state is None else state
     if state is not State.ALIVE:
         return messages.RouterUpdate(vm.id, int(state), incarnation)
@@ -151,7 +156,7 @@
 
 
 def from_update(update: messages.RouterUpdate) -> upstreams.Vm:
-    """Returns the VM of a router that only an update has told of."""
+    """Returns the VM of a router that is known only by an update."""
     return upstreams.Vm(
         id=update.router,
         host=update.host,
--- a/lavenderbend/coordination/quarantine/__init__.py
+++ b/lavenderbend/coordination/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the engines that run them."""
+"""Quarantine of requests that crash the engines that run them."""
--- a/lavenderbend/coordination/quarantine/quarantine.py
+++ b/lavenderbend/coordination/quarantine/quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash the upstreams that run them."""
+"""Quarantine of requests that crash the upstreams that run them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.quarantine import deaths
+from lavenderbend.coordination.quarantine import crashes
 from lavenderbend.coordination.quarantine import records as quarantine_records
 from lavenderbend.observe import logs
 from lavenderbend.observe import metrics
@@ -22,13 +22,14 @@
     from lavenderbend.protocol import peer
 
 QUARANTINE_SECONDS = 900
-TELL_SECONDS = 0.3
+NOTIFY_TIMEOUT_SECONDS = 0.3
 NOTICE_DELAY_SECONDS = 0.02
+# interval at which notices of findings without a record are repeated
 RESEND_SECONDS = 1.0
-# time for the other routers' notices of a death
+# time in which the notices of other routers about a crash arrive
 SETTLE_SECONDS = 0.5
-# one that ran longer is less suspect than one that was just sent; the same
-# as `AdmissionSettings.probation`
+# a request that ran longer is less suspect than one that was just sent; the
+# same as `AdmissionSettings.probation`
 PROBATION_SECONDS = 1.0
 
 CRASHES = metrics.counter(
@@ -44,17 +45,26 @@
 
 
 class Quarantine:
-    """Finds requests that crash upstreams and refuses them.
+    """Detects requests that crash upstreams and refuses them.
 
-    A request is suspect when an upstream died while it ran it. Admission
-    sends suspects out apart from each other (`PermitAsk.suspect`), so that
-    one that is there at a second death on another upstream, and no other
-    suspect with it, is the cause.
+    A request is suspect when an upstream crashed while running it. Admission
+    sends suspects to different upstreams (`PermitAsk.suspect`). A suspect
+    that is running at a second crash, on another upstream and without other
+    suspects, is taken as the cause.
 
     Attributes:
-        records: The findings in the key-value service.
-        deaths: Deaths of upstreams, and the requests that were there.
-        until: Until when each fingerprint is quarantined.
+        name: Id of this router.
+        records: Findings in the key-value service.
+        crash_log: Crashes of upstreams and the requests that were running.
+        quarantined_until: Router clock at which the quarantine of each
+            fingerprint ends.
+        unsent_crashes: Requests of this router at each crash, not yet
+            announced to the other routers.
+        unjudged: Crashes for which notices may still arrive.
+        cleared: Fingerprints cleared here and not yet announced.
+        unannounced: Fingerprints quarantined here and not yet announced.
+        notices_due: Wakes the task that sends notices.
+        crash_recorded: Wakes the task that judges crashes.
     """
 
     def __init__(
@@ -69,25 +79,25 @@
         self.name = name
         self.link = link
         self.membership = membership
-        # by name, so that routers without a source of their own differ too
+        # seeded by name, so that routers without an own source differ
         self.records = quarantine_records.Records(
             name,
             store,
             rng or random.Random(name),
-            self.learn,
+            self.apply_record,
             QUARANTINE_SECONDS,
             prefix,
         )
-        self.deaths = deaths.Deaths()
-        self.until: dict[int, float] = {}
-        self.unsent: dict[deaths.Crash, dict[int, bool]] = (
+        self.crash_log = crashes.CrashLog()
+        self.quarantined_until: dict[int, float] = {}
+        self.unsent_crashes: dict[crashes.Crash, dict[int, bool]] = (
             collections.defaultdict(dict)
         )
-        self.unsettled: list[deaths.Crash] = []
+        self.unjudged: list[crashes.Crash] = []
         self.cleared: set[int] = set()
-        self.found: set[int] = set()
-        self.wake = trio.Event()
-        self.died = trio.Event()
+        self.unannounced: set[int] = set()
+        self.notices_due = trio.Event()
+        self.crash_recorded = trio.Event()
         link.handle(messages_decisions.CrashSeen, self.on_crash)
         link.handle(messages_decisions.Quarantined, self.on_quarantined)
         link.handle(messages_decisions.SuspectCleared, self.on_cleared)
@@ -96,43 +106,48 @@
         """Refuses a quarantined request.
 
         Raises:
-            RequestQuarantined: The request crashed upstreams before.
+            RequestQuarantined: The request has crashed upstreams before.
         """
-        until = self.until.get(fingerprint)
+        until = self.quarantined_until.get(fingerprint)
         if until is None:
             return
-        left = until - trio.current_time()
-        if left <= 0:
-            del self.until[fingerprint]
+        remaining = until - trio.current_time()
+        if remaining <= 0:
+            del self.quarantined_until[fingerprint]
             return
         REFUSED.inc({})
         raise errors.RequestQuarantined(
-            'the same request crashed the upstreams that ran it',
-            retry_after=round(left),
+            'the same request has crashed the upstreams that ran it',
+            retry_after=round(remaining),
         )
 
     def suspect(self, fingerprint: int) -> bool:
-        """Returns whether an upstream died while it ran the request."""
-        return fingerprint in self.deaths.suspects
+        """Returns whether an upstream crashed while running the request."""
+        return fingerprint in self.crash_log.suspects
 
     def may_retry(self, fingerprint: int) -> bool:
-        """Returns whether a further attempt may be made."""
-        if self.until.get(fingerprint, 0.0) > trio.current_time():
+        """Returns whether another attempt of the request is allowed."""
+        if self.quarantined_until.get(fingerprint, 0.0) > trio.current_time():
             return False
-        crashes = self.deaths.suspects.get(fingerprint, ())
-        unexplained = [one for one in crashes if not self.explained(one)]
-        return len(unexplained) < deaths.CRASHES_TO_QUARANTINE
-
-    def explained(self, crash: deaths.Crash) -> bool:
-        """Returns whether a quarantined request was there at a death."""
-        return any(one in self.until for one in self.deaths.present[crash])
+        suspect_at = self.crash_log.suspects.get(fingerprint, ())
+        unexplained = [
+            crash for crash in suspect_at if not self.is_explained(crash)
+        ]
+        return len(unexplained) < crashes.CRASHES_TO_QUARANTINE
+
+    def is_explained(self, crash: crashes.Crash) -> bool:
+        """Returns whether a quarantined request was running at a crash."""
+        return any(
+            fingerprint in self.quarantined_until
+            for fingerprint in self.crash_log.requests_by_crash[crash]
+        )
 
     def survived(self, fingerprint: int) -> None:
-        """Notes that an upstream ran the request to its end."""
-        if not self.deaths.clear(fingerprint):
+        """Records that an upstream ran the request to completion."""
+        if not self.crash_log.clear(fingerprint):
             return
         self.cleared.add(fingerprint)
-        self.wake.set()
+        self.notices_due.set()
 
     async def crashed(
         self,
@@ -142,172 +157,192 @@
         in_progress: int,
         ran: float = math.inf,
     ) -> None:
-        """Notes that an upstream died while it ran the request.
+        """Records that an upstream crashed while running the request.
 
         Args:
-            fingerprint: Of the request.
+            fingerprint: Fingerprint of the request.
             upstream: VM id.
-            instance: Instance of the process that died.
-            in_progress: Requests of this router that it ran.
+            instance: Instance of the process that crashed.
+            in_progress: Number of requests of this router that it ran.
             ran: Seconds since the request was sent there.
         """
         short_id = messages_decisions.short_id
-        crash = deaths.Crash(short_id(upstream), short_id(instance))
+        crash = crashes.Crash(short_id(upstream), short_id(instance))
         CRASHES.inc({'upstream': upstream})
         fresh = ran < PROBATION_SECONDS
-        self.unsent[crash][fingerprint] = fresh
-        known = fingerprint in self.until
-        self.note(crash, {fingerprint: fresh})
-        self.wake.set()
-        if not known and fingerprint in self.until:
-            await self.tell_at_once(fingerprint)
+        self.unsent_crashes[crash][fingerprint] = fresh
+        was_quarantined = fingerprint in self.quarantined_until
+        self.record_crash(crash, {fingerprint: fresh})
+        self.notices_due.set()
+        if not was_quarantined and fingerprint in self.quarantined_until:
+            await self.notify_all(fingerprint)
 
     async def wait_notices(self, fingerprint: int) -> None:
-        """Waits for what other routers had on the upstreams that died.
+        """Waits for notices of other routers before a retry is refused.
 
-        One of them may know the request that is the cause. Ended before its
-        notice has come, an innocent request that was there at both deaths
-        fails its caller.
+        Another router may have sent the request that caused the crashes.
+        Without its notice, an innocent request that was running at both
+        crashes would not be retried, and its caller would get an error.
         """
-        if fingerprint not in self.until and not self.may_retry(fingerprint):
+        if fingerprint not in self.quarantined_until and not self.may_retry(
+            fingerprint
+        ):
             await trio.sleep(SETTLE_SECONDS)
 
-    async def tell_at_once(self, fingerprint: int) -> None:
-        """Tells all routers of a finding before the caller hears of it.
+    async def notify_all(self, fingerprint: int) -> None:
+        """Notifies all routers of a finding before the caller is answered.
 
-        A caller sends again as soon as it is told; through a router that
-        had not heard yet, its request crashed one more engine.
+        A caller may send the request again as soon as it is refused. A
+        router that does not know of the finding would then send it to one
+        more engine and crash that too.
         """
-        item = messages_decisions.Quarantined(fingerprint, QUARANTINE_SECONDS)
-        with trio.move_on_after(TELL_SECONDS):
+        message = messages_decisions.Quarantined(
+            fingerprint, QUARANTINE_SECONDS
+        )
+        with trio.move_on_after(NOTIFY_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 for router in self.membership.routers():
                     if router != self.name:
-                        nursery.start_soon(self.tell, router, item)
+                        nursery.start_soon(self.notify_router, router, message)
 
-    async def tell(self, router: str, item: peer.Message) -> None:
-        """Tells one router; if that fails, the notice follows."""
+    async def notify_router(self, router: str, message: peer.Message) -> None:
+        """Notifies one router; after a failure the regular notice follows."""
         with contextlib.suppress(errors.PeerError):
-            await self.link.request(router, item, TELL_SECONDS)
+            await self.link.request(router, message, NOTIFY_TIMEOUT_SECONDS)
 
-    def note(self, crash: deaths.Crash, fingerprints: dict[int, bool]) -> None:
-        """Adds requests to those that were there at a death."""
-        if self.deaths.note(crash, fingerprints):
-            self.unsettled.append(crash)
-            self.died.set()
+    def record_crash(
+        self, crash: crashes.Crash, fingerprints: dict[int, bool]
+    ) -> None:
+        """Records requests that were running at a crash."""
+        if self.crash_log.record(crash, fingerprints):
+            self.unjudged.append(crash)
+            self.crash_recorded.set()
         for fingerprint, fresh in fingerprints.items():
             if fresh:
                 self.judge(fingerprint, crash)
 
-    def judge(self, fingerprint: int, crash: deaths.Crash) -> None:
-        """Quarantines a request if it is the cause of a death."""
-        if fingerprint in self.until:
+    def judge(self, fingerprint: int, crash: crashes.Crash) -> None:
+        """Quarantines a request if it is the cause of a crash."""
+        if fingerprint in self.quarantined_until:
             return
-        if self.deaths.is_cause(fingerprint, crash):
+        if self.crash_log.is_cause(fingerprint, crash):
             self.quarantine(fingerprint, QUARANTINE_SECONDS)
-            self.found.add(fingerprint)
-            self.records.keep(fingerprint)
+            self.unannounced.add(fingerprint)
+            self.records.enqueue(fingerprint)
 
-    def settle(self) -> None:
-        """Judges deaths of which all routers have told by now."""
+    def judge_settled(self) -> None:
+        """Judges crashes whose notices have all had time to arrive."""
         now = trio.current_time()
-        for crash in list(self.unsettled):
-            if self.deaths.told_at.get(crash, 0.0) > now - SETTLE_SECONDS:
+        for crash in list(self.unjudged):
+            if (
+                self.crash_log.first_reported_at.get(crash, 0.0)
+                > now - SETTLE_SECONDS
+            ):
                 continue
-            self.unsettled.remove(crash)
-            for fingerprint in sorted(self.deaths.present.get(crash, {})):
+            self.unjudged.remove(crash)
+            for fingerprint in sorted(
+                self.crash_log.requests_by_crash.get(crash, {})
+            ):
                 self.judge(fingerprint, crash)
 
     def quarantine(self, fingerprint: int, seconds: float) -> None:
-        """Refuses a request from now on."""
-        if fingerprint not in self.until:
+        """Puts a request into quarantine."""
+        if fingerprint not in self.quarantined_until:
             QUARANTINED.inc({})
             logs.change('quarantined', fingerprint=f'{fingerprint:016x}')
-        self.until[fingerprint] = trio.current_time() + seconds
-        self.wake.set()
-
-    async def on_crash(self, router: str, item: peer.Message) -> None:
-        """Notes what another router had on an upstream that died."""
-        assert isinstance(item, messages_decisions.CrashSeen)
-        crash = deaths.Crash(item.upstream, item.instance)
-        fresh = set(item.fresh)
-        self.note(crash, {one: one in fresh for one in item.fingerprints})
-
-    async def on_quarantined(self, router: str, item: peer.Message) -> None:
-        """Takes over another router's finding."""
-        assert isinstance(item, messages_decisions.Quarantined)
-        self.quarantine(item.fingerprint, item.seconds)
-
-    async def on_cleared(self, router: str, item: peer.Message) -> None:
-        """Clears requests that an upstream ran to their end."""
-        assert isinstance(item, messages_decisions.SuspectCleared)
-        for fingerprint in item.fingerprints:
-            self.deaths.clear(fingerprint)
+        self.quarantined_until[fingerprint] = trio.current_time() + seconds
+        self.notices_due.set()
+
+    async def on_crash(self, router: str, message: peer.Message) -> None:
+        """Records the requests of another router at a crash."""
+        assert isinstance(message, messages_decisions.CrashSeen)
+        crash = crashes.Crash(message.upstream, message.instance)
+        fresh = set(message.fresh)
+        self.record_crash(
+            crash,
+            {
+                fingerprint: fingerprint in fresh
+                for fingerprint in message.fingerprints
+            },
+        )
+
+    async def on_quarantined(self, router: str, message: peer.Message) -> None:
+        """Applies a finding of another router."""
+        assert isinstance(message, messages_decisions.Quarantined)
+        self.quarantine(message.fingerprint, message.seconds)
+
+    async def on_cleared(self, router: str, message: peer.Message) -> None:
+        """Clears suspects that an upstream ran to completion."""
+        assert isinstance(message, messages_decisions.SuspectCleared)
+        for fingerprint in message.fingerprints:
+            self.crash_log.clear(fingerprint)
 
     async def run(self) -> None:
-        """Sends findings to the other routers and keeps them."""
+        """Sends notices, judges crashes and writes records until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.run_notices)
-            nursery.start_soon(self.run_settle)
+            nursery.start_soon(self.run_judging)
             nursery.start_soon(self.records.run)
 
     async def run_notices(self) -> None:
-        """Sends what was found, gathered for a moment."""
+        """Sends notices to the other routers, batched for a short time."""
         while True:
-            # a finding that could not be written is told again and again:
-            # a router that missed the notice has no record to learn it from
-            again = RESEND_SECONDS if self.records.unwritten else math.inf
-            with trio.move_on_after(again):
-                await self.wake.wait()
-            self.wake = trio.Event()
+            # the notice of a finding whose record is not written is repeated:
+            # a router that missed it cannot learn it from the record
+            resend_delay = (
+                RESEND_SECONDS if self.records.unwritten else math.inf
+            )
+            with trio.move_on_after(resend_delay):
+                await self.notices_due.wait()
+            self.notices_due = trio.Event()
             await trio.sleep(NOTICE_DELAY_SECONDS)
             self.send_notices()
-            self.deaths.expire()
+            self.crash_log.remove_expired()
 
-    async def run_settle(self) -> None:
-        """Judges deaths once all routers have told of them.
+    async def run_judging(self) -> None:
+        """Judges crashes after the notices of other routers have arrived.
 
-        Not by the task that sends notices: a quarantine that is found
-        meanwhile must not wait behind this.
+        A separate task, so that notices of findings made meanwhile are not
+        delayed.
         """
         while True:
-            await self.died.wait()
-            self.died = trio.Event()
-            while self.unsettled:
+            await self.crash_recorded.wait()
+            self.crash_recorded = trio.Event()
+            while self.unjudged:
                 await trio.sleep(SETTLE_SECONDS)
-                self.settle()
+                self.judge_settled()
 
     def send_notices(self) -> None:
-        """Tells all routers what this one has found since the last time."""
-        items: list[peer.Message] = []
-        for crash, fingerprints in self.unsent.items():
-            items.append(
+        """Sends what changed since the last notices to all routers."""
+        notices: list[peer.Message] = []
+        for crash, fingerprints in self.unsent_crashes.items():
+            notices.append(
                 messages_decisions.CrashSeen(
                     crash.upstream,
                     crash.instance,
                     sorted(fingerprints),
-                    sorted(one for one in fingerprints if fingerprints[one]),
+                    sorted(key for key in fingerprints if fingerprints[key]),
                 )
             )
-        for fingerprint in sorted(self.found | self.records.unwritten):
-            items.append(
+        for fingerprint in sorted(self.unannounced | self.records.unwritten):
+            notices.append(
                 messages_decisions.Quarantined(fingerprint, QUARANTINE_SECONDS)
             )
         if self.cleared:
-            items.append(
+            notices.append(
                 messages_decisions.SuspectCleared(sorted(self.cleared))
             )
-        self.unsent.clear()
-        self.found.clear()
+        self.unsent_crashes.clear()
+        self.unannounced.clear()
         self.cleared.clear()
         for router in self.membership.routers():
             if router == self.name:
                 continue
-            for item in items:
-                self.link.notify(router, item)
+            for message in notices:
+                self.link.notify(router, message)
 
-    def learn(self, fingerprint: int) -> None:
-        """Takes over a finding from the key-value service."""
-        # an earlier finding whose time has ended says nothing of this one
-        if self.until.get(fingerprint, 0.0) <= trio.current_time():
+    def apply_record(self, fingerprint: int) -> None:
+        """Applies a finding read from the key-value service."""
+        # an entry that has expired belongs to an earlier finding
+        if self.quarantined_until.get(fingerprint, 0.0) <= trio.current_time():
             self.quarantine(fingerprint, QUARANTINE_SECONDS)
--- a/lavenderbend/coordination/upstream_health/__init__.py
+++ b/lavenderbend/coordination/upstream_health/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstreams are left out for how they answer."""
+"""Exclusion of upstreams by observed facts, failures and flapping."""
--- a/lavenderbend/coordination/upstream_health/ejection.py
+++ b/lavenderbend/coordination/upstream_health/ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection and damping of upstreams that flap."""
+"""Outlier ejection and flap damping of upstreams."""
 
 from __future__ import annotations
 
@@ -14,206 +14,220 @@
 
 @attrs.frozen
 class EjectionSettings:
-    """When upstreams are held back, and for how long.
+    """Limits of ejection and flap damping.
 
     Attributes:
-        failures: Failures in a row that eject an upstream.
-        window: Seconds in which failures are weighed against successes.
-        error_share: Share of failures in the window that ejects.
-        min_requests: Requests in the window below which no share counts.
-        base_hold: Seconds of the first ejection; each further one that
-            follows soon doubles it.
-        max_hold: Longest hold, in seconds.
-        half_life: Seconds in which half of the memory of earlier
-            ejections and returns fades.
-        flaps: Returns, after fading, from which an upstream is damped.
-        reuse: Returns, after fading, below which it is used again.
-        max_share: Largest share of a service that is held back.
+        consecutive_failures: Consecutive failures that eject an upstream.
+        window_seconds: Half-life of the counts of failures and successes
+            from which the failure fraction is computed.
+        failure_fraction: Fraction of failed requests that ejects.
+        min_requests: Decayed number of requests below which the fraction is
+            not evaluated.
+        base_ejection_seconds: Duration of a first ejection; each recent
+            ejection doubles it.
+        max_ejection_seconds: Maximum duration of an ejection.
+        half_life_seconds: Half-life of the counts of earlier ejections and
+            returns.
+        damping_threshold: Decayed number of returns from which an upstream
+            is damped.
+        reuse_threshold: Decayed number of returns below which a damped
+            upstream is used again.
+        max_excluded_fraction: Maximum fraction of the upstreams of a service
+            that is ejected or damped.
     """
 
-    failures: int = 5
-    window: float = 10.0
-    error_share: float = 0.5
+    consecutive_failures: int = 5
+    window_seconds: float = 10.0
+    failure_fraction: float = 0.5
     min_requests: int = 10
-    base_hold: float = 2.0
-    max_hold: float = 300.0
-    half_life: float = 60.0
-    flaps: float = 2.0
-    reuse: float = 0.75
-    max_share: float = 0.34
+    base_ejection_seconds: float = 2.0
+    max_ejection_seconds: float = 300.0
+    half_life_seconds: float = 60.0
+    damping_threshold: float = 2.0
+    reuse_threshold: float = 0.75
+    max_excluded_fraction: float = 0.34
 
 
 @attrs.define
-class Fading:
-    """A count that halves with each half-life.
+class DecayingCount:
+    """A count with exponential decay.
 
     Attributes:
-        half_life: Seconds.
-        count: Value at `at`.
-        at: Router clock of the last change.
+        half_life_seconds: Time in which the count halves.
+        count: Value at `changed_at`.
+        changed_at: Router clock of the last change.
     """
 
-    half_life: float
+    half_life_seconds: float
     count: float = 0.0
-    at: float = 0.0
+    changed_at: float = 0.0
 
     def value(self) -> float:
-        """Returns the count as it has faded by now."""
-        elapsed = trio.current_time() - self.at
-        return self.count * 0.5 ** (elapsed / self.half_life)
+        """Returns the decayed count."""
+        elapsed = trio.current_time() - self.changed_at
+        return self.count * 0.5 ** (elapsed / self.half_life_seconds)
 
     def add(self, amount: float = 1.0, limit: float = math.inf) -> None:
-        """Adds to the count, up to a limit."""
+        """Adds to the decayed count, up to a limit."""
         self.count = min(self.value() + amount, limit)
-        self.at = trio.current_time()
+        self.changed_at = trio.current_time()
 
 
 @attrs.define
-class Health:
-    """What attempts have shown of one upstream.
+class UpstreamHealth:
+    """Results of attempts at one upstream.
 
     Attributes:
-        in_row: Failures since the last success.
-        failures: Failures, fading.
-        successes: Successes, fading.
-        ejections: Ejections, fading.
-        returns: Returns after an absence, fading.
+        failures: Decayed count of failures.
+        successes: Decayed count of successes.
+        ejections: Decayed count of ejections.
+        returns: Decayed count of returns after an absence.
+        consecutive_failures: Failures since the last success.
         ejected_until: Router clock at which the ejection ends.
-        damped: Whether it is held back for flapping.
+        damped: Whether it is excluded for flapping.
     """
 
-    failures: Fading
-    successes: Fading
-    ejections: Fading
-    returns: Fading
-    in_row: int = 0
+    failures: DecayingCount
+    successes: DecayingCount
+    ejections: DecayingCount
+    returns: DecayingCount
+    consecutive_failures: int = 0
     ejected_until: float = -math.inf
     damped: bool = False
 
 
 class Ejector:
-    """Holds back upstreams that fail or flap.
+    """Excludes upstreams that fail or flap.
 
     Attributes:
-        settings: The limits.
-        states: By upstream id; forgotten by `forget`.
-        suspects: Those that may be held back; looked at often, so few.
+        settings: Limits of ejection and flap damping.
+        states: By upstream id; removed by `remove_unlisted`.
+        excludable: Upstreams that were ejected or damped when last checked;
+            a small set, because it is checked often.
     """
 
     def __init__(self, settings: EjectionSettings | None = None) -> None:
         self.settings = settings or EjectionSettings()
-        self.states: dict[str, Health] = {}
-        self.suspects: set[str] = set()
+        self.states: dict[str, UpstreamHealth] = {}
+        self.excludable: set[str] = set()
 
-    def state(self, upstream: str) -> Health:
+    def state(self, upstream: str) -> UpstreamHealth:
         """Returns the state of an upstream."""
         if upstream not in self.states:
-            window = self.settings.window
-            half_life = self.settings.half_life
-            self.states[upstream] = Health(
-                failures=Fading(window),
-                successes=Fading(window),
-                ejections=Fading(half_life),
-                returns=Fading(half_life),
+            window = self.settings.window_seconds
+            half_life = self.settings.half_life_seconds
+            self.states[upstream] = UpstreamHealth(
+                failures=DecayingCount(window),
+                successes=DecayingCount(window),
+                ejections=DecayingCount(half_life),
+                returns=DecayingCount(half_life),
             )
         return self.states[upstream]
 
-    def forget(self, known: Iterable[str]) -> None:
-        """Drops the states of upstreams that are not known any more."""
-        keep = set(known)
+    def remove_unlisted(self, listed: Iterable[str]) -> None:
+        """Removes the states of upstreams that are no longer listed."""
+        keep = set(listed)
         for upstream in list(self.states):
             if upstream not in keep:
                 del self.states[upstream]
-                self.suspects.discard(upstream)
+                self.excludable.discard(upstream)
 
     def note_success(self, upstream: str) -> None:
-        """Notes an attempt that the upstream answered."""
+        """Records an attempt that the upstream answered."""
         state = self.state(upstream)
-        state.in_row = 0
+        state.consecutive_failures = 0
         state.successes.add()
 
     def note_failure(self, upstream: str) -> bool:
-        """Notes an attempt that failed; returns whether that ejects."""
+        """Records a failed attempt; returns whether it causes an ejection."""
         state = self.state(upstream)
-        state.in_row += 1
+        state.consecutive_failures += 1
         state.failures.add()
         if trio.current_time() < state.ejected_until:
             return False
         if not self.is_outlier(state):
             return False
         self.eject(state)
-        self.suspects.add(upstream)
+        self.excludable.add(upstream)
         return True
 
-    def is_outlier(self, state: Health) -> bool:
-        """Returns whether the failures of an upstream are too many."""
-        if state.in_row >= self.settings.failures:
+    def is_outlier(self, state: UpstreamHealth) -> bool:
+        """Returns whether the failures of an upstream justify an ejection."""
+        if state.consecutive_failures >= self.settings.consecutive_failures:
             return True
         failures = state.failures.value()
         total = failures + state.successes.value()
         if total < self.settings.min_requests:
             return False
-        return failures / total >= self.settings.error_share
-
-    def eject(self, state: Health) -> None:
-        """Begins a hold that is longer the more of them came lately."""
-        doubling = state.ejections.value()
-        hold = self.settings.base_hold * 2.0 ** min(doubling, 32.0)
-        hold = min(hold, self.settings.max_hold)
-        state.ejected_until = trio.current_time() + hold
+        return failures / total >= self.settings.failure_fraction
+
+    def eject(self, state: UpstreamHealth) -> None:
+        """Ejects an upstream, for longer the more recent ejections it had."""
+        doublings = state.ejections.value()
+        seconds = self.settings.base_ejection_seconds * 2.0 ** min(
+            doublings, 32.0
+        )
+        seconds = min(seconds, self.settings.max_ejection_seconds)
+        state.ejected_until = trio.current_time() + seconds
         state.ejections.add()
-        # judged anew after the hold, not by what led to it
-        state.in_row = 0
-        state.failures = Fading(self.settings.window)
-        state.successes = Fading(self.settings.window)
+        # results that led to the ejection must not cause the next one
+        state.consecutive_failures = 0
+        state.failures = DecayingCount(self.settings.window_seconds)
+        state.successes = DecayingCount(self.settings.window_seconds)
 
     def note_return(self, upstream: str) -> None:
-        """Notes that an upstream is back after it was away.
+        """Records that an upstream is back after an absence.
 
-        An upstream that comes and goes moves chats to and fro and loses
-        their prompt caches each time. Its returns add up and fade; from
-        `flaps` on it gets nothing until they have faded below `reuse`, so
-        a single restart costs nothing and a flapping one settles.
+        Each time an upstream leaves and returns, chats move between
+        upstreams and their prompt caches are lost. The decayed count of
+        returns damps an upstream at `damping_threshold`: it gets no requests
+        until the count is below `reuse_threshold`. A single restart stays
+        below the threshold.
         """
         state = self.state(upstream)
-        state.returns.add(limit=4.0 * self.settings.flaps)
-        if state.returns.value() >= self.settings.flaps:
+        state.returns.add(limit=4.0 * self.settings.damping_threshold)
+        if state.returns.value() >= self.settings.damping_threshold:
             state.damped = True
-            self.suspects.add(upstream)
+            self.excludable.add(upstream)
 
-    def why(self, upstream: str) -> str | None:
-        """Returns why an upstream had better be held back, if it had."""
-        if upstream not in self.suspects:
+    def reason(self, upstream: str) -> str | None:
+        """Returns why an upstream is ejected or damped, None if it is not."""
+        if upstream not in self.excludable:
             return None
         state = self.states[upstream]
-        left = state.ejected_until - trio.current_time()
-        if left > 0:
-            return f'ejected for failures, {left:.1f} s left'
-        if state.damped and state.returns.value() < self.settings.reuse:
+        remaining = state.ejected_until - trio.current_time()
+        if remaining > 0:
+            return f'ejected for failures, {remaining:.1f} s left'
+        if (
+            state.damped
+            and state.returns.value() < self.settings.reuse_threshold
+        ):
             state.damped = False
         if state.damped:
             return f'flapping, {state.returns.value():.2f} returns'
-        self.suspects.discard(upstream)
+        self.excludable.discard(upstream)
         return None
 
-    def held(self, members: Iterable[str]) -> frozenset[str]:
-        """Returns which of a service's upstreams are held back.
+    def excluded(self, members: Iterable[str]) -> frozenset[str]:
+        """Returns which upstreams of a service are excluded.
 
-        A fault of the network or a bad release makes many upstreams fail
-        at once. Were all of them ejected, the rest would be overloaded and
-        fail next. So no more than the share is held: those that have been
-        worst.
+        A network fault or a bad release makes many upstreams fail at once.
+        If all of them were excluded, the rest would be overloaded and fail
+        next. So at most `max_excluded_fraction` of the members is excluded,
+        those with the highest penalty.
         """
         members = list(members)
-        limit = math.floor(self.settings.max_share * len(members))
-        suspects = self.suspects.intersection(members)
-        held = [name for name in suspects if self.why(name) is not None]
-        if len(held) <= limit:
-            return frozenset(held)
-        held.sort(key=lambda name: (-self.badness(name), name))
-        return frozenset(held[:limit])
-
-    def badness(self, upstream: str) -> float:
-        """Returns how much an upstream has failed and flapped lately."""
+        limit = math.floor(self.settings.max_excluded_fraction * len(members))
+        excludable = self.excludable.intersection(members)
+        excluded = [
+            name for name in excludable if self.reason(name) is not None
+        ]
+        if len(excluded) <= limit:
+            return frozenset(excluded)
+        excluded.sort(key=lambda name: (-self.penalty(name), name))
+        return frozenset(excluded[:limit])
+
+    def penalty(self, upstream: str) -> float:
+        """Returns the decayed number of ejections and returns."""
         state = self.state(upstream)
         return state.ejections.value() + state.returns.value()
--- a/lavenderbend/coordination/upstream_health/health.py
+++ b/lavenderbend/coordination/upstream_health/health.py
@@ -1,4 +1,4 @@
-"""Signs of upstreams that leave or are not reached, each for a time."""
+"""Facts about draining and unreachable upstreams, each with a lifetime."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 Kind = messages.FactKind
 
-ENDING = frozenset({Kind.RETURNED, Kind.DRAIN_ENDED})
+ENDING_KINDS = frozenset({Kind.RETURNED, Kind.DRAIN_ENDED})
 
-# a fact is forgotten this many seconds after it has ended; until then its
-# number tells a late copy from news
-FORGET_AFTER = 60.0
+# an expired fact is kept for this time, so that its sequence number identifies
+# late copies
+RETENTION_SECONDS = 60.0
 
 
 @attrs.frozen
 class Fact:
-    """A sign that holds until a time.
+    """An observation of an upstream, in force until it expires.
 
     Attributes:
-        until: Router clock at which it ends.
-        sequence: Number given by its observer.
-        instance: Instance of the upstream that it is about, empty if any.
+        until: Router clock at which it expires.
+        sequence: Sequence number assigned by its observer.
+        instance: Instance of the upstream it concerns, empty for any.
     """
 
     until: float
@@ -37,16 +37,18 @@
 
 
 class UpstreamFacts:
-    """What routers have seen of upstreams.
+    """Facts that routers have observed of upstreams.
 
-    Every fact ends by itself unless its observer renews it, so a fact whose
-    observer is lost, or was wrong, does no lasting harm.
+    A fact expires unless its observer renews it, so a fact whose observer is
+    lost or was wrong has no lasting effect.
 
     Attributes:
         name: Id of this router and of its process, as an observer.
-        observers: Routers needed where others could not check.
+        observers: Number of observers that must report a refusal, which
+            other routers cannot check.
         facts: By upstream, kind and observer.
-        instances: The instance of each upstream that was heard of last.
+        instances: Latest known instance of each upstream.
+        sequence: Sequence number of the last fact of this router.
     """
 
     def __init__(self, name: str, observers: int) -> None:
@@ -59,7 +61,7 @@
     def observe(
         self, upstream: str, kind: Kind, seconds: float, instance: str = ''
     ) -> messages.UpstreamFact:
-        """Notes a fact seen by this router; returns it for the others."""
+        """Records a fact observed by this router; returns its message."""
         self.sequence += 1
         fact = messages.UpstreamFact(
             upstream=upstream,
@@ -73,19 +75,19 @@
         return fact
 
     def merge(self, fact: messages.UpstreamFact) -> bool:
-        """Takes a fact; returns whether it is news.
+        """Merges a fact; returns whether it is new.
 
         Raises:
-            ValueError: The fact has values that are none of ours.
+            ValueError: The fact has an unknown kind.
         """
         kind = Kind(fact.kind)
-        known = self.facts.setdefault(fact.upstream, {})
-        old = known.get((kind, fact.observer))
-        if old is not None and old.sequence >= fact.sequence:
+        facts = self.facts.setdefault(fact.upstream, {})
+        previous = facts.get((kind, fact.observer))
+        if previous is not None and previous.sequence >= fact.sequence:
             return False
         until = trio.current_time() + fact.seconds
-        known[kind, fact.observer] = Fact(until, fact.sequence, fact.instance)
-        if kind in ENDING:
+        facts[kind, fact.observer] = Fact(until, fact.sequence, fact.instance)
+        if kind in ENDING_KINDS:
             self.end_facts(fact.upstream, kind, fact.instance)
         return True
 
@@ -93,64 +95,63 @@
         """Ends the facts that an answer of an instance contradicts."""
         now = trio.current_time()
         self.instances[upstream] = instance
-        known = self.facts.get(upstream, {})
-        for key, fact in known.items():
+        facts = self.facts.get(upstream, {})
+        for key, fact in facts.items():
             if fact.until > now and is_ended(key[0], fact, kind, instance):
-                known[key] = attrs.evolve(fact, until=now)
+                facts[key] = attrs.evolve(fact, until=now)
 
     def is_contradicted(self, upstream: str, instance: str) -> bool:
-        """Returns whether an answer of an instance ends a fact held now."""
+        """Returns whether an answer of an instance ends a fact in force."""
         now = trio.current_time()
         return any(
             fact.until > now and is_ended(kind, fact, Kind.RETURNED, instance)
             for (kind, _), fact in self.facts.get(upstream, {}).items()
         )
 
-    def held(self, upstream: str, kind: Kind) -> list[str]:
-        """Returns the observers whose facts of a kind hold now."""
+    def active_observers(self, upstream: str, kind: Kind) -> list[str]:
+        """Returns the observers that have a fact of a kind in force."""
         now = trio.current_time()
         return [
             observer
-            for (of_kind, observer), fact in self.facts.get(
+            for (fact_kind, observer), fact in self.facts.get(
                 upstream, {}
             ).items()
-            if of_kind is kind and fact.until > now
+            if fact_kind is kind and fact.until > now
         ]
 
-    def why(self, upstream: str) -> str | None:
-        """Returns why an upstream must get nothing new, None if it may."""
+    def reason(self, upstream: str) -> str | None:
+        """Returns why facts exclude an upstream, None if they do not."""
         if upstream not in self.facts:
             return None
-        draining = self.held(upstream, Kind.DRAINING)
+        draining = self.active_observers(upstream, Kind.DRAINING)
         if draining:
-            return f'draining, says {router_of(draining[0])}'
-        unreached = self.held(upstream, Kind.UNREACHABLE)
+            return f'draining, reported by {router_of(draining[0])}'
+        unreached = self.active_observers(upstream, Kind.UNREACHABLE)
         if unreached:
-            return (
-                f'not reached by {router_of(unreached[0])} and those it asked'
-            )
-        refused = self.held(upstream, Kind.REFUSED)
-        # one router may itself be cut off; its word alone holds nothing back
+            return f'unreachable from {router_of(unreached[0])} and its helpers'
+        refused = self.active_observers(upstream, Kind.REFUSED)
+        # a single observer may itself be cut off, so its fact alone excludes
+        # the upstream on that router only
         if len(refused) >= self.observers or self.name in refused:
             names = sorted({router_of(observer) for observer in refused})
-            return f'refuses connections of {", ".join(names)}'
+            return f'refuses connections from {", ".join(names)}'
         return None
 
-    def next_end(self) -> float | None:
-        """Returns when the next fact that holds will end."""
+    def next_expiry(self) -> float | None:
+        """Returns the router clock at which the next fact expires."""
         now = trio.current_time()
-        ends = [
+        expiries = [
             fact.until
-            for known in self.facts.values()
-            for fact in known.values()
+            for facts in self.facts.values()
+            for fact in facts.values()
             if fact.until > now
         ]
-        return min(ends, default=None)
+        return min(expiries, default=None)
 
-    def forget(self, known: Iterable[str]) -> None:
-        """Drops facts that ended long ago and those of unknown VMs."""
-        keep = set(known)
-        limit = trio.current_time() - FORGET_AFTER
+    def remove_expired(self, listed: Iterable[str]) -> None:
+        """Removes facts that expired long ago, and state of unlisted VMs."""
+        keep = set(listed)
+        limit = trio.current_time() - RETENTION_SECONDS
         for upstream in list(self.facts):
             facts = self.facts[upstream]
             for key in list(facts):
@@ -161,23 +162,29 @@
                 self.instances.pop(upstream, None)
 
 
-def is_ended(kind: Kind, fact: Fact, by: Kind, instance: str) -> bool:
+def is_ended(kind: Kind, fact: Fact, ending_kind: Kind, instance: str) -> bool:
     """Returns whether a fact is ended by an answer of an instance.
 
-    Load reports are late: one that does not say draining may be older than
-    an answer that did. So a report alone ends the draining of earlier
-    instances only; `DRAIN_ENDED` comes from a router that has seen the
-    reports of one instance say it, and then say it no more.
+    Load reports lag, so one without the draining flag may be older than an
+    answer that announced draining. `RETURNED` therefore ends only the
+    draining of earlier instances. `DRAIN_ENDED` is sent by a router that saw
+    reports of the same instance first with the flag, and then without it.
+
+    Args:
+        kind: Kind of the fact.
+        fact: The fact.
+        ending_kind: Kind of the answer, one of `ENDING_KINDS`.
+        instance: Instance that answered.
     """
     if kind in {Kind.UNREACHABLE, Kind.REFUSED}:
         return True
     if kind is not Kind.DRAINING:
         return False
-    if by is Kind.DRAIN_ENDED:
+    if ending_kind is Kind.DRAIN_ENDED:
         return fact.instance in {'', instance}
     return fact.instance not in {'', instance}
 
 
 def router_of(observer: str) -> str:
-    """Returns the router of an observer, without the mark of its process."""
+    """Returns the router id of an observer, without its process suffix."""
     return observer.split('#')[0]
--- a/lavenderbend/daemon/router.py
+++ b/lavenderbend/daemon/router.py
@@ -161,7 +161,7 @@
             adapters.admission_settings(settings.admission),
         )
         # an owner that lacks the reports of an engine would never use it
-        self.membership.wants_report = self.admission.wants_report
+        self.membership.poll_filter = self.admission.wants_report
         self.limits = limits_module.CustomerLimits(
             settings.id, self.link, self.membership, self.configurations
         )
@@ -301,7 +301,7 @@
         while True:
             revision = await self.configurations.wait_beyond(number)
             number = revision.number
-            self.membership.touch()
+            self.membership.notify_changed()
 
     async def finish(self, callers_shutdown: trio.Event) -> None:
         """Stops without cutting off a request.
--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -261,7 +261,7 @@
             configurations,
             random.Random(self.rng.random()),
         )
-        member.wants_report = one.wants_report
+        member.poll_filter = one.wants_report
         self.members[vm.id] = member
         self.admissions[vm.id] = one
         self.nursery.start_soon(member.run)
--- a/tests/test_coordination/test_limits.py
+++ b/tests/test_coordination/test_limits.py
@@ -13,7 +13,7 @@
 
 
 class Routers:
-    """Limits of some routers over one network."""
+    """Limits of several routers with one network."""
 
     def __init__(self, nursery, count=6):
         self.nursery = nursery
@@ -25,15 +25,15 @@
         self.limits = {}
         for name in self.names:
             view = fakes.View(self.names, (), fakes.ReportBoard())
-            one = limits.CustomerLimits(
+            limiter = limits.CustomerLimits(
                 name, self.network.link(name), view, self.configurations
             )
             self.views[name] = view
-            self.limits[name] = one
-            nursery.start_soon(one.run)
+            self.limits[name] = limiter
+            nursery.start_soon(limiter.run)
 
-    async def ask(self, name, rate, seconds):
-        """Returns how many requests at an even rate were let through."""
+    async def send_requests(self, name, rate, seconds):
+        """Sends requests at an even rate; returns how many passed."""
         passed = 0
         for _ in range(int(rate * seconds)):
             await trio.sleep(1 / rate)
@@ -46,36 +46,39 @@
         return passed
 
 
-async def passed_by_all(routers, rates, seconds):
+async def send_through(routers, rates, seconds):
     counts = []
 
-    async def one(name, rate):
-        counts.append(await routers.ask(name, rate, seconds))
+    async def send(name, rate):
+        counts.append(await routers.send_requests(name, rate, seconds))
 
     async with trio.open_nursery() as nursery:
         for name, rate in rates.items():
-            nursery.start_soon(one, name, rate)
+            nursery.start_soon(send, name, rate)
     return sum(counts)
 
 
-async def test_limit_holds_when_all_routers_are_asked(nursery, autojump_clock):
-    # a customer surges 20-fold through all routers; each knows a sliver
+async def test_limit_holds_when_all_routers_get_requests(
+    nursery, autojump_clock
+):
+    # Guards against routers that exceed the limit together: a customer surges
+    # 20-fold through all of them, and each sees only a fraction of it.
     routers = Routers(nursery)
     rates = dict.fromkeys(routers.names, 100.0)
 
-    passed = await passed_by_all(routers, rates, 30)
+    passed = await send_through(routers, rates, 30)
 
-    most = RATE * 30 + LIMITED.burst + RATE
-    assert 0.85 * RATE * 30 < passed <= most
+    max_passed = RATE * 30 + LIMITED.burst + RATE
+    assert 0.85 * RATE * 30 < passed <= max_passed
 
 
 async def test_limit_is_usable_through_one_router(nursery, autojump_clock):
-    # the balancer sends a customer to one router only: an even part there
-    # would refuse five of six requests though the customer is below its limit
+    # Guards against refusals below the limit: the balancer sends a customer to
+    # one router only, where an even share would refuse five of six requests.
     routers = Routers(nursery)
 
-    await passed_by_all(routers, {'router-2': 24.0}, 5)
-    passed = await passed_by_all(routers, {'router-2': 24.0}, 20)
+    await send_through(routers, {'router-2': 24.0}, 5)
+    passed = await send_through(routers, {'router-2': 24.0}, 20)
 
     assert passed >= 0.99 * 24 * 20
 
@@ -83,27 +86,27 @@
 async def test_limit_holds_when_the_home_router_is_lost(
     nursery, autojump_clock
 ):
-    # the router that divides the limit dies while one router uses nearly
-    # all of it: the others must not add their even parts for ever
+    # Guards against even shares added without end: the home router dies while
+    # one router uses nearly the whole limit.
     routers = Routers(nursery)
     home = routers.limits['router-0'].home('city')
     busy = next(name for name in routers.names if name != home)
-    await passed_by_all(routers, {busy: 100.0}, 5)
+    await send_through(routers, {busy: 100.0}, 5)
     routers.network.dead.add(home)
     rates = dict.fromkeys(set(routers.names) - {home}, 100.0)
 
-    passed = await passed_by_all(routers, rates, 20)
+    passed = await send_through(routers, rates, 20)
 
     assert passed <= RATE * 20 + 2 * RATE + LIMITED.burst
 
 
-async def test_no_message_for_each_request(nursery, autojump_clock):
+async def test_messages_do_not_grow_with_requests(nursery, autojump_clock):
     routers = Routers(nursery)
     rates = dict.fromkeys(routers.names, 100.0)
 
-    await passed_by_all(routers, rates, 10)
+    await send_through(routers, rates, 10)
 
-    messages = sum(one.messages for one in routers.network.counts.values())
+    messages = sum(count.messages for count in routers.network.counts.values())
     assert messages <= 2 * 6 * 11
 
 
--- a/tests/test_coordination/test_limits_bounds.py
+++ b/tests/test_coordination/test_limits_bounds.py
@@ -1,4 +1,4 @@
-"""How far the fleet may pass a limit, and what is refused below it."""
+"""Bounds of what passes above a limit and of what is refused below it."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 RATE = 30.0
 BURST = 10.0
 CITY = configuration.Customer('city', requests_per_second=RATE, burst=BURST)
-# what docs/design/limits.rst states: the burst and two seconds of the limit
+# the bound that docs/design/limits.rst states: the burst and two seconds of
+# the limit
 LEASED = BURST + 2 * RATE
 
 
 class Fleet:
-    """Limits of some routers, whose views can differ.
+    """Limits of several routers, whose views can differ.
 
     Attributes:
         limits: By router.
         views: By router.
-        asked: Requests.
-        passed: Requests let through, by router.
+        sent: Number of requests sent.
+        passed: Number of requests that passed, by router.
     """
 
     def __init__(self, nursery, count):
@@ -35,42 +36,42 @@
         self.network = fakes.Network(nursery, 0.001)
         self.names = [f'router-{number}' for number in range(count)]
         document = configuration.Configuration(customers=(CITY,))
-        fixed = fakes.FixedConfiguration(document)
+        configurations = fakes.FixedConfiguration(document)
         self.limits = {}
         self.views = {}
-        self.asked = 0
+        self.sent = 0
         self.passed = dict.fromkeys(self.names, 0)
         for name in self.names:
             view = fakes.View(self.names, (), fakes.ReportBoard())
             link = self.network.link(name)
-            one = limits.CustomerLimits(name, link, view, fixed)
+            limiter = limits.CustomerLimits(name, link, view, configurations)
             self.views[name] = view
-            self.limits[name] = one
-            nursery.start_soon(one.run)
+            self.limits[name] = limiter
+            nursery.start_soon(limiter.run)
 
     @property
     def home(self):
         return self.limits[self.names[0]].home('city')
 
-    def see(self, names, seen):
-        """Makes some routers see just these."""
+    def set_view(self, names, visible):
+        """Sets the routers that some routers see."""
         for name in names:
-            self.views[name].names = tuple(seen)
+            self.views[name].names = tuple(visible)
 
     def tokens(self):
-        """Returns the tokens that routers hold."""
+        """Returns the tokens held by all routers."""
         return sum(
-            one.buckets['city'].tokens
-            for one in self.limits.values()
-            if 'city' in one.buckets
+            limiter.buckets['city'].tokens
+            for limiter in self.limits.values()
+            if 'city' in limiter.buckets
         )
 
-    async def come(self, name, rate):
-        """Asks at random times, the same in every run."""
+    async def send_randomly(self, name, rate):
+        """Sends requests at random times, the same in every run."""
         rng = random.Random(name)
         while True:
             await trio.sleep(rng.expovariate(rate))
-            self.asked += 1
+            self.sent += 1
             try:
                 self.limits[name].check('city')
             except errors.CustomerOverLimit:
@@ -78,100 +79,104 @@
             self.passed[name] += 1
 
     async def run(self, names, rate, seconds):
-        """Returns how many passed of how many that were asked."""
-        before = self.asked, sum(self.passed.values())
+        """Sends requests for a time; returns how many passed and were sent."""
+        before = self.sent, sum(self.passed.values())
         with trio.move_on_after(seconds):
             async with trio.open_nursery() as nursery:
                 for name in names:
-                    nursery.start_soon(self.come, name, rate)
+                    nursery.start_soon(self.send_randomly, name, rate)
         return (
             sum(self.passed.values()) - before[1],
-            self.asked - before[0],
+            self.sent - before[0],
         )
 
 
 async def test_customer_far_below_its_limit_is_not_refused(
     nursery, autojump_clock
 ):
-    # A customer asks for a tenth of its limit over 48 routers and sees 429.
-    # Each router's even part is 0.6 requests a second in a bucket of one;
-    # two requests that come to a router by chance find one token.
+    # Guards against status 429 for a customer that uses a tenth of its limit
+    # through 48 routers. With even shares, each router has 0.6 requests a
+    # second in a bucket of one, and refuses one of two requests that arrive
+    # there by chance.
     fleet = Fleet(nursery, 48)
     rate = RATE / 10 / 48
 
-    passed, asked = await fleet.run(fleet.names, rate, 300)
+    passed, sent = await fleet.run(fleet.names, rate, 300)
 
-    assert asked > 800
-    assert asked - passed <= 0.003 * asked
+    assert sent > 800
+    assert sent - passed <= 0.003 * sent
 
 
-async def test_surge_after_calm_stays_within_the_stated_part(
+async def test_surge_after_idle_time_stays_within_the_bound(
     nursery, autojump_clock
 ):
-    # A customer is calm for minutes, so routers hold tokens unreported and
-    # the pool is full; then it surges through all of them at once.
+    # Guards against a surge that passes more than the bound: after minutes of
+    # few requests, routers hold unreported tokens and the pool is full, and
+    # then the customer surges through all routers at once.
     fleet = Fleet(nursery, 24)
     await fleet.run(fleet.names, 0.1, 120)
 
-    passed, asked = await fleet.run(fleet.names, 50.0, 20)
+    passed, sent = await fleet.run(fleet.names, 50.0, 20)
 
-    free = buckets.FREE_TOKENS * len(fleet.names)
-    assert asked > 20 * RATE * 20
-    assert 0.95 * RATE * 20 <= passed <= RATE * 20 + LEASED + free
+    free_tokens = buckets.FREE_TOKENS * len(fleet.names)
+    assert sent > 20 * RATE * 20
+    assert 0.95 * RATE * 20 <= passed <= RATE * 20 + LEASED + free_tokens
 
 
 async def test_surge_is_shared_by_all_routers(nursery, autojump_clock):
-    # Whoever reports first takes the whole pool and the clients of the
-    # other routers see nothing but 429.
+    # Guards against a router that takes the whole pool by reporting first, so
+    # that clients of the other routers only get status 429.
     fleet = Fleet(nursery, 12)
     await fleet.run(fleet.names, 50.0, 5)
     fleet.passed = dict.fromkeys(fleet.names, 0)
 
     await fleet.run(fleet.names, 50.0, 30)
 
-    even = RATE * 30 / 12
-    assert min(fleet.passed.values()) >= even / 2
-    assert max(fleet.passed.values()) <= even * 2
+    even_share = RATE * 30 / 12
+    assert min(fleet.passed.values()) >= even_share / 2
+    assert max(fleet.passed.values()) <= even_share * 2
 
 
-async def test_unused_tokens_follow_the_requests(nursery, autojump_clock):
-    # The balancer moves a customer from router to router. Each holds seconds'
-    # worth of tokens that nobody asks for any more; kept, they would leave
-    # the pool at the mark where it is not filled.
+async def test_unused_tokens_are_returned_for_use_elsewhere(
+    nursery, autojump_clock
+):
+    # Guards against tokens held where no requests arrive any more: the balancer
+    # moves a customer from router to router, and tokens kept by each for
+    # several seconds would leave the pool at its maximum, without refill.
     fleet = Fleet(nursery, 6)
     for name in ('router-0', 'router-1', 'router-2', 'router-4'):
         await fleet.run([name], 10.0, 15)
     await fleet.run(['router-5'], 25.0, 10)
 
-    passed, asked = await fleet.run(['router-5'], 25.0, 30)
+    passed, sent = await fleet.run(['router-5'], 25.0, 30)
 
-    assert passed >= 0.99 * asked
+    assert passed >= 0.99 * sent
     assert fleet.limits['router-4'].buckets['city'].tokens <= LEASED / 6
 
 
-async def test_views_that_differ_add_no_more_than_one_limit_each(
+async def test_each_differing_view_adds_at_most_one_limit(
     nursery, autojump_clock
 ):
-    # Half of the fleet sees only itself: two routers take themselves for
-    # the customer's home, and each half uses the whole limit.
+    # Guards against more than one limit for each half of a split fleet: in
+    # each half another router acts as the customer's home.
     fleet = Fleet(nursery, 12)
     left = [name for name in fleet.names if name != fleet.home][:6]
     right = [name for name in fleet.names if name not in left]
     await fleet.run(fleet.names, 10.0, 10)
-    fleet.see(left, left)
-    fleet.see(right, right)
-    for one in left:
+    fleet.set_view(left, left)
+    fleet.set_view(right, right)
+    for router in left:
         for other in right:
-            fleet.network.cut(one, other)
+            fleet.network.cut(router, other)
 
     passed, _ = await fleet.run(fleet.names, 50.0, 30)
 
     assert passed <= 2 * (RATE * 30 + LEASED) + 24
 
-    fleet.see(fleet.names, fleet.names)
-    for one in left:
+    fleet.set_view(fleet.names, fleet.names)
+    for router in left:
         for other in right:
-            fleet.network.mend(one, other)
+            fleet.network.mend(router, other)
     await fleet.run(fleet.names, 50.0, 5)
 
     passed, _ = await fleet.run(fleet.names, 50.0, 30)
@@ -179,49 +184,51 @@
     assert passed <= RATE * 30 + LEASED
 
 
-async def test_router_that_is_not_the_home_lends_nothing(
+async def test_router_that_is_not_the_home_grants_nothing(
     nursery, autojump_clock
 ):
-    # A few routers have dropped the home from their views and ask the next
-    # one, which still sees the home: would it lend, the limit held twice.
+    # Guards against a limit that is granted twice: a few routers dropped the
+    # home from their views and report to the next one, which still sees the
+    # home.
     fleet = Fleet(nursery, 12)
     home = fleet.home
-    astray = [name for name in fleet.names if name != home][:3]
-    fleet.see(astray, [name for name in fleet.names if name != home])
-    wrong = fleet.limits[astray[0]].home('city')
-    if wrong in astray:
-        fleet.see([wrong], fleet.names)
+    without_home = [name for name in fleet.names if name != home][:3]
+    fleet.set_view(without_home, [name for name in fleet.names if name != home])
+    other_home = fleet.limits[without_home[0]].home('city')
+    if other_home in without_home:
+        fleet.set_view([other_home], fleet.names)
 
     passed, _ = await fleet.run(fleet.names, 50.0, 30)
 
-    # three of twelve may use even parts besides what the home lends
-    assert not fleet.limits[wrong].pools
+    # three of twelve may use even shares besides what the home grants
+    assert not fleet.limits[other_home].pools
     assert passed <= RATE * 30 * (1 + 3 / 12) + LEASED + 24
 
 
-async def test_lost_home_adds_nothing_to_what_is_out(nursery, autojump_clock):
-    # The home dies with what it knew of the tokens that are out; views drop
-    # it 3.5 s later. Till then even parts, after that the next home lends.
+async def test_lost_home_adds_no_tokens(nursery, autojump_clock):
+    # Guards against excess tokens after the loss of a home, which knew the
+    # tokens that routers hold. Views drop it 3.5 s later; until then even
+    # shares apply, after that the next home grants.
     fleet = Fleet(nursery, 12)
     home = fleet.home
-    alive = [name for name in fleet.names if name != home]
-    await fleet.run(alive, 10.0, 20)
+    remaining = [name for name in fleet.names if name != home]
+    await fleet.run(remaining, 10.0, 20)
     fleet.network.dead.add(home)
     held = fleet.tokens()
 
-    lost, _ = await fleet.run(alive, 50.0, 3.5)
-    fleet.see(alive, alive)
-    found, _ = await fleet.run(alive, 50.0, 30)
+    passed_without_home, _ = await fleet.run(remaining, 50.0, 3.5)
+    fleet.set_view(remaining, remaining)
+    passed_with_new_home, _ = await fleet.run(remaining, 50.0, 30)
 
-    assert lost + found <= RATE * 30 + held + RATE
-    assert found >= 0.9 * RATE * 30
+    assert passed_without_home + passed_with_new_home <= RATE * 30 + held + RATE
+    assert passed_with_new_home >= 0.9 * RATE * 30
 
 
-async def test_home_that_never_answers_leaves_even_parts(
+async def test_even_shares_apply_while_the_home_does_not_answer(
     nursery, autojump_clock
 ):
-    # The home is stuck but in all views: its customers would be refused for
-    # good once their tokens are spent.
+    # Guards against refusing all requests of the customers of a home that
+    # hangs but stays in all views, once their tokens are spent.
     fleet = Fleet(nursery, 12)
     home = fleet.home
     fleet.network.dead.add(home)
@@ -233,17 +240,18 @@
     assert 0.8 * RATE * 30 <= passed <= RATE * 30
 
 
-async def test_home_for_the_second_time_does_not_lend_from_an_old_pool(
+async def test_returning_home_does_not_grant_from_its_old_pool(
     nursery, autojump_clock
 ):
-    # A group moves to another home and back within a minute. The first home
-    # would find its pool refilled for that minute, which the other has lent.
+    # Guards against tokens granted twice: a group moves to another home and
+    # back within a minute, and the old pool of the first home would be
+    # refilled for that minute, whose tokens the other home has granted.
     fleet = Fleet(nursery, 12)
     home = fleet.home
     await fleet.run(fleet.names, 10.0, 10)
-    fleet.see(fleet.names, [name for name in fleet.names if name != home])
+    fleet.set_view(fleet.names, [name for name in fleet.names if name != home])
     await fleet.run(fleet.names, 50.0, 20)
-    fleet.see(fleet.names, fleet.names)
+    fleet.set_view(fleet.names, fleet.names)
     held = fleet.tokens()
 
     passed, _ = await fleet.run(fleet.names, 50.0, 10)
@@ -254,16 +262,17 @@
 async def test_customer_far_below_its_limit_costs_few_messages(
     nursery, autojump_clock
 ):
-    # Every router told every home each second: two thirds of the processor
-    # time that all agreement may take went into limits nobody came near.
+    # Guards against reports of every router to every home each second, which
+    # took two thirds of the processor time allowed for all coordination, for
+    # customers far below their limits.
     fleet = Fleet(nursery, 24)
     await fleet.run(fleet.names, RATE / 10 / 24, 60)
     fleet.network.counts.clear()
 
-    _, asked = await fleet.run(fleet.names, RATE / 10 / 24, 120)
+    _, sent = await fleet.run(fleet.names, RATE / 10 / 24, 120)
 
-    messages = sum(one.messages for one in fleet.network.counts.values())
-    assert messages <= 1.5 * asked
+    messages = sum(count.messages for count in fleet.network.counts.values())
+    assert messages <= 1.5 * sent
     assert messages <= 2 * 24 * 120 / 8
 
 
@@ -278,17 +287,18 @@
     assert not fleet.network.counts
 
 
-async def test_router_of_the_version_before_gets_no_tokens(
+async def test_router_of_the_previous_version_gets_no_tokens(
     nursery, autojump_clock
 ):
-    # During a rolling restart a router reports a demand as rates: taken for
-    # tokens, the share it gets back would be read as a rate.
+    # Guards against a mix-up during a rolling restart: a router of the previous
+    # version reports its demand as rates, and would read granted tokens as a
+    # rate.
     fleet = Fleet(nursery, 3)
     home = fleet.limits[fleet.home]
     number = messages_decisions.short_id('city')
-    old = messages_decisions.CustomerDemand([number], [1000])
+    old_demand = messages_decisions.CustomerDemand([number], [1000])
 
-    await home.on_demand('router-9', old)
+    await home.on_demand('router-9', old_demand)
 
     assert not home.pools
     assert not fleet.network.counts
--- a/tests/test_coordination/test_membership_bounds.py
+++ b/tests/test_coordination/test_membership_bounds.py
@@ -9,7 +9,8 @@
 from bench.peers import bounds
 from bench.peers import scale
 
-# on the virtual clock and from fixed seeds: the same figures at every run
+# the fixture runs on a virtual clock with fixed seeds, so its figures are the
+# same in every run
 
 
 @pytest.fixture(scope='module')
@@ -21,7 +22,7 @@
     assert bounds.check_membership('12', row) == []
 
 
-def test_nobody_is_lost_wrongly(row):
+def test_no_live_router_is_declared_dead(row):
     assert row['wrong losses'] == {'cut': 0, 'pause': 0, 'loss': 0}
 
 
@@ -42,19 +43,19 @@
         (('wrong losses', 'cut'), 1),
     ],
 )
-def test_a_figure_that_falls_back_is_named(row, path, value):
+def test_figure_that_got_worse_is_reported(row, path, value):
     worse = json.loads(json.dumps(row))
     worse[path[0]][path[1]] = value
 
     assert len(bounds.check_membership('12', worse)) == 1
 
 
-async def test_views_never_differ_for_more_than_seconds_under_churn(
+async def test_views_converge_within_ten_seconds_under_churn(
     nursery, autojump_clock
 ):
-    # routers are replaced one after the other, every five seconds, while
-    # one-way cuts come and go. Whatever each believes meanwhile, ten
-    # seconds after the last change all must believe the same.
+    # Guards against views that stay different after churn: routers are
+    # replaced every five seconds while one-way cuts begin and end. Ten
+    # seconds after the last change all views must be equal.
     fleet = await scale.fleets.make_fleet(nursery, 12, engines=6, seed=3)
     names = sorted(fleet.members)
     for number in range(6):
--- a/tests/test_coordination/test_membership_fleet.py
+++ b/tests/test_coordination/test_membership_fleet.py
@@ -11,7 +11,9 @@
 from lavenderbend.state import upstreams
 
 
-async def test_fleet_sees_itself(nursery, autojump_clock):
+async def test_every_router_sees_all_routers_and_engines(
+    nursery, autojump_clock
+):
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
 
     for member in fleet.members.values():
@@ -23,9 +25,9 @@
 async def test_draining_engine_leaves_every_view_within_two_seconds(
     nursery, autojump_clock
 ):
-    # an engine begins to drain and says so in its load report, which one or
-    # two routers poll. The VM list shows it 10 s later. Until all routers
-    # know, some go on sending it new work that it will cut off.
+    # Guards against new requests to a draining engine, which it will cut
+    # off. Its load report, polled by one or two routers, shows the drain; the
+    # VM list does so 10 s later.
     fleet = await fleets.make_fleet(nursery, 24, engines=5, lag=10.0)
     await trio.sleep(3)
     fleet.engines['engine-0002'].draining = True
@@ -46,11 +48,12 @@
     assert len(fleet.believing('router-001')) == 5
 
 
-async def test_router_that_stops_is_out_of_every_view_at_once(
+async def test_stopping_router_leaves_every_view_at_once(
     nursery, autojump_clock
 ):
-    # a planned stop: the router tells its peers before it closes, so that
-    # nobody asks it for permits any more and nobody has to suspect it.
+    # Guards against permit requests to a router after a planned stop, and
+    # against its suspicion: it announces the stop to its peers before it
+    # closes.
     fleet = await fleets.make_fleet(nursery, 24)
     await fleet.members['router-005'].leave()
 
@@ -59,10 +62,10 @@
     assert fleet.believing('router-005') == []
 
 
-async def test_restarted_router_is_believed_again(nursery, autojump_clock):
-    # a router's process ends, the fleet believes it dead, and it starts
-    # again under the same id, with its incarnation back at zero. Its first
-    # word would be older than what the fleet believes of it.
+async def test_restarted_router_rejoins_every_view(nursery, autojump_clock):
+    # Guards against a restarted router that stays dead in all views: its
+    # incarnation starts at zero again, so its first update is older than the
+    # state that the fleet has of it.
     fleet = await fleets.make_fleet(nursery, 6)
     for _ in range(2):
         fleet.end('router-002')
@@ -74,9 +77,7 @@
         assert len(fleet.believing('router-002')) == 6
 
 
-async def test_router_that_left_comes_back_under_its_id(
-    nursery, autojump_clock
-):
+async def test_router_that_left_rejoins_under_its_id(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 6)
     await fleet.members['router-002'].leave()
     fleet.end('router-002')
@@ -88,10 +89,10 @@
     assert len(fleet.believing('router-002')) == 6
 
 
-async def test_cut_between_two_routers_moves_nobody(nursery, autojump_clock):
-    # a firewall rule drops what one router sends to another. Each of the
-    # two could believe the other dead though everybody else reaches both;
-    # owners would move and permits be taken over for nothing.
+async def test_cut_between_two_routers_removes_neither(nursery, autojump_clock):
+    # Guards against needless moves of owners and permits: a firewall rule
+    # drops messages from one router to another, and either could believe the
+    # other dead although all others reach both.
     fleet = await fleets.make_fleet(nursery, 6)
     fleet.network.cut.add(('router-000', 'router-001'))
 
@@ -101,10 +102,12 @@
     assert len(fleet.believing('router-001')) == 6
 
 
-async def test_paused_router_refutes_when_it_goes_on(nursery, autojump_clock):
-    # a VM is paused for 20 s while it is moved. The fleet believes its
-    # router dead and it comes back unaware, still thinking that it takes
-    # part. Its messages of before the pause arrive late, all at once.
+async def test_paused_router_refutes_its_death_after_resuming(
+    nursery, autojump_clock
+):
+    # Guards against a paused router that stays dead in the views: its VM is
+    # paused for 20 s for a migration, it resumes without knowing that it was
+    # declared dead, and messages from before the pause arrive late.
     fleet = await fleets.make_fleet(nursery, 6)
     fleet.network.pause('router-003')
     await trio.sleep(20)
@@ -118,7 +121,7 @@
         assert len(fleet.believing(name)) == 6
 
 
-async def test_short_pause_is_not_taken_for_death(nursery, autojump_clock):
+async def test_short_pause_does_not_change_any_view(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 24)
     views = {name: len(fleet.believing(name)) for name in fleet.members}
     fleet.network.pause('router-003')
@@ -130,12 +133,12 @@
     assert {name: len(fleet.believing(name)) for name in fleet.members} == views
 
 
-async def test_both_sides_of_a_partition_go_on_and_join_again(
+async def test_both_sides_of_a_partition_continue_and_merge(
     nursery, autojump_clock
 ):
-    # a region loses the others for two minutes. Each side must go on with
-    # those it reaches, and when the link is back nobody may stay dead in
-    # the view of the other side for good.
+    # Guards against routers that stay dead after a partition: a region is
+    # cut off for two minutes. Each side must continue with the routers it
+    # reaches, and after the partition all must be alive in all views.
     fleet = await fleets.make_fleet(nursery, 12)
     names = sorted(fleet.members)
     fleet.network.cut_off(names[:4], names[4:])
@@ -150,12 +153,10 @@
         assert len(fleet.believing(name)) == 12
 
 
-async def test_new_router_takes_part_before_the_list_shows_it(
-    nursery, autojump_clock
-):
-    # the VM list is 30 s late everywhere. A new router answers its peers
-    # long before; for as long as the list may be late it takes part, and
-    # it goes on when the list at last shows it.
+async def test_new_router_is_live_before_it_is_listed(nursery, autojump_clock):
+    # Guards against a new router that is not used while the VM list lags by
+    # 30 s: it answers its peers long before, so it is live for the grace
+    # period, and stays live once it is listed.
     fleet = await fleets.make_fleet(nursery, 6, lag=30.0)
     vm = fleets.router_vm(6)
     fleet.vm_list.add(vm)
@@ -172,12 +173,10 @@
     assert fleet.members['router-000'].router_state(vm.id) == 'alive'
 
 
-async def test_router_that_is_never_listed_loses_its_part(
-    nursery, autojump_clock
-):
-    # a router answers but the platform never lists it: a forgotten VM, or
-    # one deleted while its process runs on. The platform's word goes first
-    # once the list has had time to catch up.
+async def test_router_that_is_never_listed_is_removed(nursery, autojump_clock):
+    # Guards against a responsive router that the platform does not list,
+    # such as one on a forgotten VM or on a deleted VM whose process still
+    # runs. After the grace period of the lagging list, the list decides.
     fleet = await fleets.make_fleet(nursery, 6)
     vm = fleets.router_vm(6)
     fleet.start(vm)
@@ -189,7 +188,7 @@
     assert fleet.believing(vm.id) in ([], [vm.id])
 
 
-async def test_listed_router_that_never_answered_takes_no_part(
+async def test_listed_router_that_never_answered_is_not_live(
     nursery, autojump_clock
 ):
     fleet = await fleets.make_fleet(nursery, 6)
@@ -203,9 +202,7 @@
     assert member.router_state('router-006') == 'not heard of yet'
 
 
-async def test_router_that_the_list_calls_leaving_takes_no_part(
-    nursery, autojump_clock
-):
+async def test_router_listed_as_leaving_is_not_live(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 6)
     fleet.vm_list.set_state('router-001', upstreams.VmState.LEAVING)
 
@@ -214,12 +211,10 @@
     assert set(fleet.believing('router-001')) <= {'router-001'}
 
 
-async def test_list_that_comes_back_empty_is_distrusted(
-    nursery, autojump_clock
-):
-    # the platform's list restarts and answers with an empty, then a half
-    # list for some seconds. A router that believed it would drop every
-    # upstream and refuse all requests.
+async def test_empty_or_truncated_list_is_rejected(nursery, autojump_clock):
+    # Guards against dropping all upstreams, and refusing all requests, while
+    # the list service restarts and answers for some seconds with an empty,
+    # then with half a list.
     fleet = await fleets.make_fleet(nursery, 6, engines=8)
     shown = dict(fleet.vm_list.shown)
     fleet.vm_list.shown = {}
@@ -232,7 +227,7 @@
     assert len(fleet.believing('router-005')) == 6
 
 
-async def test_large_loss_that_lasts_is_believed(nursery, autojump_clock):
+async def test_large_loss_that_lasts_is_accepted(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 3, engines=8)
     for number in range(1, 8):
         fleet.vm_list.remove(f'engine-{number:04d}')
@@ -243,10 +238,10 @@
     assert len(fleet.using('engine-0000')) == 3
 
 
-async def test_start_while_the_list_is_down(nursery, autojump_clock):
-    # the VM list is down and a router's process restarts. It knows nobody,
-    # but the others know it: from the first that probes it, it learns the
-    # fleet and the list.
+async def test_router_joins_while_the_list_is_down(nursery, autojump_clock):
+    # Guards against a restarted router that cannot join while the VM list is
+    # down: it knows no peers, but they probe it, and it learns the fleet and
+    # the list from the first of them.
     fleet = await fleets.make_fleet(nursery, 6, engines=4)
     fleet.vm_list.down = True
     fleet.end('router-002')
@@ -277,10 +272,10 @@
     assert len(fleet.using(vm.id)) == 24
 
 
-async def test_large_list_is_read_within_its_bytes(nursery, autojump_clock):
-    # the list of a large site has a megabyte and is never the same for
-    # long. Read every two seconds it would take thirty times what a router
-    # may spend on all its control traffic.
+async def test_large_list_is_read_within_its_byte_rate(nursery, autojump_clock):
+    # Guards against reads of a large list that exceed the control traffic
+    # budget: the list of a large site has a megabyte and changes often, so a
+    # read every two seconds would take thirty times the budget.
     fleet = await fleets.make_fleet(nursery, 6, engines=2)
     readers = {
         name: member.reader
@@ -288,7 +283,7 @@
         if member.reader.is_reader()
     }
     for member in fleet.members.values():
-        member.vm_list = CountedList(member.vm_list)
+        member.vm_list = CountingVmList(member.vm_list)
     await trio.sleep(1000)
 
     for name, member in fleet.members.items():
@@ -297,8 +292,8 @@
         assert rate > 500
 
 
-class CountedList:
-    """A list of a megabyte that changes at every read."""
+class CountingVmList:
+    """Counts a megabyte for each read of a VM list."""
 
     def __init__(self, inner):
         self.inner = inner
@@ -309,13 +304,13 @@
         return await self.inner.fetch()
 
 
-async def test_malformed_updates_are_refused_and_those_before_hold(
+async def test_malformed_update_is_refused_and_earlier_ones_apply(
     nursery, autojump_clock
 ):
     fleet = await fleets.make_fleet(nursery, 2)
-    good = messages.UpstreamFact('e', 0, 'x', 1, 5.0)
+    valid = messages.UpstreamFact('e', 0, 'x', 1, 5.0)
     link = fleet.network.links['router-000']
-    for bad in (
+    for malformed in (
         [85, 'router-001', 17, 0],
         [86, 'e', 0, 'x', 2, -1.0],
         [86, 'e', 'draining', 'x', 2, 5.0],
@@ -326,19 +321,22 @@
         [1234],
         'text',
     ):
-        ping = messages.Ping([peer.to_wire(good), bad])
+        ping = messages.Ping([peer.to_wire(valid), malformed])
         with pytest.raises(errors.PeerRefused, match='CodecError'):
             await link.request('router-001', ping, 1.0)
 
     facts = fleet.members['router-001'].facts
-    assert facts.why('e') == 'draining, says x'
+    assert facts.reason('e') == 'draining, reported by x'
     await trio.sleep(30)
     assert len(fleet.believing('router-001')) == 2
 
 
-async def test_regions_that_lose_each_other_serve_on(nursery, autojump_clock):
-    # two regions lose each other. Each must keep its own routers and
-    # engines, hear of its own drains within 2 s, and meet again afterwards.
+async def test_regions_cut_off_from_each_other_keep_serving(
+    nursery, autojump_clock
+):
+    # Guards against loss of service when two regions are cut off from each
+    # other: each must keep its own routers and engines, see its own drains
+    # within 2 s, and see the other region again afterwards.
     fleet = await fleets.make_fleet(nursery, 1, engines=4)
     fleet.end('router-000')
     for number in range(8):
--- a/tests/test_coordination/test_membership_sockets.py
+++ b/tests/test_coordination/test_membership_sockets.py
@@ -1,4 +1,4 @@
-"""Membership over real peer links on loopback, with mutual TLS."""
+"""Membership over peer links on loopback sockets with mutual TLS."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     probe_period=0.05,
     probe_timeout=0.5,
     indirect_timeout=0.5,
-    suspicion=0.5,
+    suspicion_timeout=0.5,
     report_period=0.1,
 )
 
@@ -43,11 +43,12 @@
 
 
 @pytest.mark.parametrize('kind', ['frames', 'grpc'])
-async def test_routers_find_each_other_and_tell_of_a_drain(
+async def test_routers_discover_each_other_and_announce_a_drain(
     nursery, tmp_path, kind
 ):
-    # the whole of it on sockets: three routers with certificates find each
-    # other, hear of an engine's drain, and miss one whose process ends.
+    # Guards against faults that only real links show: three routers with
+    # certificates discover each other, learn of an engine's drain, and remove
+    # a router whose process ends.
     names = ['r1', 'r2', 'r3']
     issued = certificates.issue(str(tmp_path), names)
     engine = upstreams.Vm(
@@ -57,15 +58,15 @@
     vm_list = vm_lists.StaticVmList([engine])
     members = {}
     scopes = {}
-    made = []
+    peer_links = []
     for name in names:
         link = links.LINKS.get(kind)(name, '127.0.0.1', 0, issued[name])
         scopes[name] = [trio.CancelScope(), trio.CancelScope()]
         nursery.start_soon(run_within, scopes[name][0], link.run)
         await link.started.wait()
-        made.append(link)
-    vm_list.vms = (engine, *(router_vm(link) for link in made))
-    for link in made:
+        peer_links.append(link)
+    vm_list.vms = (engine, *(router_vm(link) for link in peer_links))
+    for link in peer_links:
         members[link.name] = membership.FleetMembership(
             router_vm(link),
             vm_list,
--- a/tests/test_coordination/test_membership_upstreams.py
+++ b/tests/test_coordination/test_membership_upstreams.py
@@ -7,27 +7,27 @@
 from lavenderbend.coordination import membership
 from lavenderbend.state import upstreams
 
-BROKE = errors.UpstreamBroke('cut')
-UNREACHED = errors.UpstreamUnreachable('refused')
+BROKEN = errors.UpstreamBroke('cut')
+UNREACHABLE = errors.UpstreamUnreachable('refused')
 
 
-async def test_answer_header_takes_a_draining_engine_out_everywhere(
+async def test_draining_header_excludes_an_engine_on_all_routers(
     nursery, autojump_clock
 ):
-    # one router sees in an answer that the engine is leaving. All others
-    # would go on sending it work until its report or the late VM list
-    # tells them too.
+    # Guards against new requests to a draining engine: one router sees in an
+    # answer that it drains, and the others would send it requests until its
+    # load report or the lagging VM list shows it.
     fleet = await fleets.make_fleet(nursery, 24, engines=5, lag=10.0)
     fleet.members['router-004'].note_draining('engine-0003')
 
     await trio.sleep(0.5)
 
     assert fleet.using('engine-0003') == []
-    why = fleet.members['router-000'].explain('engine-0003')
-    assert why == 'draining, says router-004'
+    reason = fleet.members['router-000'].explain('engine-0003')
+    assert reason == 'draining, reported by router-004'
 
 
-async def test_leaving_in_the_list_takes_an_engine_out_everywhere(
+async def test_engine_listed_as_leaving_is_excluded_on_all_routers(
     nursery, autojump_clock
 ):
     fleet = await fleets.make_fleet(nursery, 24, engines=5)
@@ -36,11 +36,11 @@
     await trio.sleep(3)
 
     assert fleet.using('engine-0003') == []
-    why = fleet.members['router-000'].explain('engine-0003')
-    assert why == 'leaving in the VM list'
+    reason = fleet.members['router-000'].explain('engine-0003')
+    assert reason == 'leaving in the VM list'
 
 
-async def test_drain_that_is_called_off_ends(nursery, autojump_clock):
+async def test_withdrawn_drain_ends(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     fleet.engines['engine-0003'].draining = True
     await trio.sleep(10)
@@ -51,9 +51,10 @@
     assert len(fleet.using('engine-0003')) == 6
 
 
-async def test_long_drain_holds_to_its_end(nursery, autojump_clock):
-    # an engine drains for minutes while long answers finish. Were the sign
-    # to end before, it would get new work again and cut it off.
+async def test_long_drain_stays_in_force(nursery, autojump_clock):
+    # Guards against a draining fact that expires during a long drain: the
+    # engine finishes long answers for minutes, and would cut off new requests
+    # that it got meanwhile.
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     fleet.engines['engine-0003'].draining = True
     await trio.sleep(3)
@@ -62,13 +63,14 @@
         await trio.sleep(3)
 
 
-async def test_drain_is_seen_though_its_poller_has_died(
+async def test_drain_is_detected_although_a_poller_died(
     nursery, autojump_clock
 ):
-    # two faults at once: the router that polls an engine dies in the moment
-    # in which the engine begins to drain. The second poller tells the rest.
+    # Guards against a drain missed under two faults: a router that polls the
+    # engine dies as the engine begins to drain. The second poller announces
+    # the drain.
     fleet = await fleets.make_fleet(nursery, 12, engines=5, lag=10.0)
-    # routers agree on who polls once they have chosen in a settled view
+    # pollers are stable once selected in a converged view
     await trio.sleep(5)
     pollers = [
         name
@@ -84,9 +86,9 @@
     assert fleet.using('engine-0003') == []
 
 
-async def test_sign_of_a_lost_observer_ends(nursery, autojump_clock):
-    # a router says that an engine drains, wrongly, and is gone. Nobody
-    # renews its word, so the engine must come back by itself.
+async def test_fact_of_a_lost_observer_expires(nursery, autojump_clock):
+    # Guards against an engine excluded for good: a router wrongly reports it
+    # as draining and dies. The fact is not renewed and must expire.
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     fleet.members['router-005'].note_draining('engine-0001')
     await trio.sleep(0.2)
@@ -113,12 +115,12 @@
     assert len(fleet.using('engine-0003')) == 24
 
 
-async def test_engine_that_some_routers_do_not_reach_stays_for_the_others(
+async def test_engine_unreachable_from_some_stays_usable_for_others(
     nursery, autojump_clock
 ):
-    # the path from one availability zone to an engine is broken. The
-    # routers there hold it back; all others must go on using it, with its
-    # prompt cache.
+    # Guards against an engine excluded fleet-wide, with loss of its prompt
+    # cache, because the path from one availability zone is broken. Only the
+    # routers there may exclude it.
     fleet = await fleets.make_fleet(nursery, 12, engines=5)
     poller = next(
         name
@@ -132,12 +134,12 @@
     assert set(fleet.using('engine-0003')) == set(fleet.members) - {poller}
 
 
-async def test_with_no_engine_reached_all_stay_candidates(
+async def test_all_engines_stay_usable_if_none_is_reachable(
     nursery, autojump_clock
 ):
-    # the routers lose the network towards the engines. With no candidate
-    # left, requests that might just get through would be refused, and all
-    # would wait for the next report after the network is back.
+    # Guards against refusing all requests when the routers lose the network
+    # to the engines: some requests may still succeed, and after the fault the
+    # engines must be usable before their next load report.
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     for engine in fleet.engines.values():
         engine.reachable = False
@@ -145,16 +147,18 @@
     await trio.sleep(10)
 
     assert len(fleet.using('engine-0003')) == 6
-    why = fleet.members['router-000'].explain('engine-0003')
-    assert why.startswith('candidate, for want of others, though not reached')
+    reason = fleet.members['router-000'].explain('engine-0003')
+    assert reason.startswith(
+        'candidate because no other is usable, although unreachable'
+    )
 
 
-async def test_flapping_engine_is_held_back_until_it_settles(
+async def test_flapping_engine_is_damped_until_it_is_stable(
     nursery, autojump_clock
 ):
-    # an engine crashes and restarts every 30 s. Each return draws chats to
-    # it, whose context it loses again. After two returns it gets nothing
-    # until it has stayed for a while.
+    # Guards against chats that move to an engine that crashes and restarts
+    # every 30 s, and lose their context each time. After two returns it gets
+    # no requests until it has been stable for a time.
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     engine = fleet.engines['engine-0003']
     used = []
@@ -168,13 +172,13 @@
 
     assert used[0]
     assert not any(used[3:])
-    why = fleet.members['router-000'].explain('engine-0003')
-    assert why.startswith('flapping')
+    reason = fleet.members['router-000'].explain('engine-0003')
+    assert reason.startswith('flapping')
     await trio.sleep(240)
     assert len(fleet.using('engine-0003')) == 6
 
 
-async def test_one_restart_costs_no_hold(nursery, autojump_clock):
+async def test_single_restart_does_not_exclude(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 6, engines=5)
     fleet.engines['engine-0003'].instance = 'i2'
 
@@ -183,13 +187,13 @@
     assert len(fleet.using('engine-0003')) == 6
 
 
-async def test_failing_upstream_is_ejected_and_tried_again(
+async def test_failing_upstream_is_ejected_and_used_again(
     nursery, autojump_clock
 ):
     fleet = await fleets.make_fleet(nursery, 2, engines=5)
     member = fleet.members['router-000']
     for _ in range(5):
-        member.note_result('engine-0001', BROKE)
+        member.note_result('engine-0001', BROKEN)
     assert len(member.upstreams('assistant')) == 4
     assert member.explain('engine-0001').startswith('ejected for failures')
 
@@ -198,46 +202,47 @@
     assert len(member.upstreams('assistant')) == 5
 
 
-async def test_waiters_hear_of_an_ejection_and_of_its_end(
+async def test_waiters_wake_on_an_ejection_and_on_its_end(
     nursery, autojump_clock
 ):
     fleet = await fleets.make_fleet(nursery, 2, engines=5)
     member = fleet.members['router-000']
-    heard = []
+    upstream_counts = []
 
-    async def listen():
+    async def wait_for_changes():
         for _ in range(2):
             await member.wait_changed()
-            heard.append(len(member.upstreams('assistant')))
+            upstream_counts.append(len(member.upstreams('assistant')))
 
     async with trio.open_nursery() as inner:
-        inner.start_soon(listen)
+        inner.start_soon(wait_for_changes)
         await trio.testing.wait_all_tasks_blocked()
         for _ in range(5):
-            member.note_result('engine-0001', BROKE)
+            member.note_result('engine-0001', BROKEN)
 
-    assert heard == [4, 5]
+    assert upstream_counts == [4, 5]
 
 
-async def test_unreached_engine_is_looked_at_at_once(nursery, autojump_clock):
-    # an engine has just died and its next report is not due yet. The first
-    # request that is refused has this router look, ask others, and tell.
+async def test_unreachable_engine_is_checked_at_once(nursery, autojump_clock):
+    # Guards against requests to a crashed engine until its next poll is due:
+    # the first refused request makes the router poll it, ask other routers,
+    # and announce it as unreachable.
     settings = membership.MembershipSettings(report_period=30.0)
     fleet = await fleets.make_fleet(nursery, 12, engines=5, settings=settings)
     fleet.engines['engine-0003'].reachable = False
-    fleet.members['router-007'].note_result('engine-0003', UNREACHED)
+    fleet.members['router-007'].note_result('engine-0003', UNREACHABLE)
 
     await trio.sleep(1)
 
     assert fleet.using('engine-0003') == []
 
 
-async def test_plain_service_needs_two_routers_to_be_dropped_by_others(
+async def test_service_is_excluded_fleet_wide_only_by_two_observers(
     nursery, autojump_clock
 ):
-    # plain services have no report that others could check. One router may
-    # itself be cut off from the service, so its word alone holds it back
-    # for itself only.
+    # Guards against a service excluded by one router that is itself cut off.
+    # Services have no load report that others could check, so a single
+    # observer excludes the service on its own router only.
     fleet = await fleets.make_fleet(nursery, 6)
     for number in range(3):
         fleet.vm_list.add(
@@ -254,7 +259,7 @@
     for name, count in (('router-001', 5), ('router-002', 4)):
         member = fleet.members[name]
         for _ in range(2):
-            member.note_result('mailbox-1', UNREACHED)
+            member.note_result('mailbox-1', UNREACHABLE)
         await trio.sleep(0.5)
         using = fleet.using('mailbox-1', 'mailbox')
         assert name not in using
@@ -266,10 +271,10 @@
     assert len(fleet.using('mailbox-1', 'mailbox')) == 6
 
 
-async def test_admission_chooses_who_polls(nursery, autojump_clock):
+async def test_poll_filter_selects_the_polling_router(nursery, autojump_clock):
     fleet = await fleets.make_fleet(nursery, 3, engines=5)
     for name, member in fleet.members.items():
-        member.wants_report = lambda vm, name=name: name == 'router-001'
+        member.poll_filter = lambda vm, name=name: name == 'router-001'
 
     await trio.sleep(15)
 
@@ -278,7 +283,7 @@
     assert fleet.members['router-001'].report('engine-0000') is not None
 
 
-async def test_polls_stay_under_their_rate(nursery, autojump_clock):
+async def test_polls_stay_below_the_report_rate(nursery, autojump_clock):
     settings = membership.MembershipSettings(report_rate=10.0)
     fleet = await fleets.make_fleet(nursery, 2, engines=60, settings=settings)
     member = fleet.members['router-000']
@@ -290,10 +295,10 @@
     assert 500 <= member.poller.polls - before <= 610
 
 
-async def test_isolated_router_finds_a_drain_by_itself(nursery, autojump_clock):
-    # two faults at once: a router is cut off from all others but not from
-    # the engines, and one of those begins to drain. Nobody can tell it; once
-    # it believes itself alone it polls all engines.
+async def test_isolated_router_detects_a_drain(nursery, autojump_clock):
+    # Guards against a drain missed under two faults: a router is cut off from
+    # all others, but not from the engines, as engines begin to drain. Once it
+    # believes itself alone, it polls all engines.
     fleet = await fleets.make_fleet(nursery, 6, engines=5, lag=10.0)
     names = sorted(fleet.members)
     await trio.sleep(2)
@@ -310,13 +315,16 @@
     assert fleet.using('engine-0002') == names
 
 
-async def test_only_poller_of_an_engine_is_lost(nursery, autojump_clock):
-    # admission has each engine polled by its owner alone. The owner dies as
-    # the engine begins to drain: nobody sees it until the owner is believed
-    # dead and the next one polls. An answer that says it ends that at once.
+async def test_drain_is_detected_although_the_only_poller_died(
+    nursery, autojump_clock
+):
+    # Guards against a drain missed when admission has each engine polled by
+    # its owner alone and the owner dies as the drain begins. It is detected
+    # once the owner is declared dead and the next owner polls, or earlier by
+    # an answer that announces it.
     fleet = await fleets.make_fleet(nursery, 6, engines=5, lag=20.0)
     for name, member in fleet.members.items():
-        member.wants_report = lambda vm, name=name: owner(fleet, name)
+        member.poll_filter = lambda vm, name=name: is_owner(fleet, name)
     await trio.sleep(12)
     fleet.end(owner_name(fleet))
     fleet.engines['engine-0003'].draining = True
@@ -327,9 +335,9 @@
     assert len(fleet.using('engine-0001')) == 5
 
 
-def owner(fleet, name):
+def is_owner(fleet, name):
     return fleet.members[name].routers()[0] == name
 
 
 def owner_name(fleet):
-    return next(name for name in sorted(fleet.members) if owner(fleet, name))
+    return next(name for name in sorted(fleet.members) if is_owner(fleet, name))
--- a/tests/test_transport/test_peer_fuzz.py
+++ b/tests/test_transport/test_peer_fuzz.py
@@ -74,7 +74,7 @@
                 random.Random(1),
             )
             try:
-                member.news.take_updates(updates)
+                member.processor.merge_updates(updates)
             except errors.CodecError:
                 pass
             assert member.routers()
