--- a/lavenderbend/coordination/quarantine/quarantine.py
+++ b/lavenderbend/coordination/quarantine/quarantine.py
@@ -29,7 +29,7 @@
 # time in which the notices of other routers about a crash arrive
 SETTLE_SECONDS = 0.5
 # a request that ran longer is less suspect than one that was just sent; the
-# same as `AdmissionSettings.probation`
+# same as `AdmissionSettings.suspect_interval`
 PROBATION_SECONDS = 1.0
 
 CRASHES = metrics.counter(
--- a/lavenderbend/daemon/router.py
+++ b/lavenderbend/daemon/router.py
@@ -161,7 +161,7 @@
             adapters.admission_settings(settings.admission),
         )
         # an owner that lacks the reports of an engine would never use it
-        self.membership.poll_filter = self.admission.wants_report
+        self.membership.poll_filter = self.admission.needs_report
         self.limits = limits_module.CustomerLimits(
             settings.id, self.link, self.membership, self.configurations
         )
