--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -264,7 +264,7 @@
             configurations,
             random.Random(self.rng.random()),
         )
-        member.wants_report = entry.needs_report
+        member.poll_filter = entry.needs_report
         self.members[vm.id] = member
         self.admissions[vm.id] = entry
         self.nursery.start_soon(member.run)
