--- a/bench/agreed/claim_rate.py
+++ b/bench/agreed/claim_rate.py
@@ -10,7 +10,7 @@
 from bench.agreed import fleets
 from lavenderbend import errors
 from lavenderbend.coordination.claims import claims as claims_module
-from lavenderbend.coordination.claims import waiting as claim_waiting
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.standin import key_value
 
 ONE_WAY_SECONDS = 0.0015
@@ -62,7 +62,7 @@
         )
         policy = claims_module.ClaimPolicy(
             shards=shards,
-            shard=claim_waiting.ShardPolicy(gap=0.0105 * shards),
+            shard=commit_queue.ShardPolicy(batch_interval=0.0105 * shards),
         )
         self.fleet = fleets.Fleet(
             self.store, self.rng, policy, claims_module.Claims
@@ -139,7 +139,7 @@
             self.fleet.kill(owner, nursery)
         some = next(iter(self.fleet.live.values()))
         shard = self.fleet.live[some.claims.owner(0)].claims.shards[0]
-        loaded = 1000 * max(shard.loads)
+        loaded = 1000 * max(shard.reading_seconds)
         return loaded, len(shard.table.held), 1000 * max(self.taken)
 
 
--- a/lavenderbend/coordination/admission/context_moves.py
+++ b/lavenderbend/coordination/admission/context_moves.py
@@ -63,8 +63,8 @@
             for chat, use in self.places.at(place).items()
         ]
         targets = {name: self.loads.table.load(name) for name in self.members}
-        moves = cache_transfer.plan(contexts, targets, self.settings)
-        async for move in cache_transfer.carry_out(
+        moves = cache_transfer.plan_moves(contexts, targets, self.settings)
+        async for move in cache_transfer.execute_moves(
             client, place.upstream, moves, self.settings.seconds
         ):
             chat = move.context.chat
--- a/lavenderbend/coordination/cache_transfer.py
+++ b/lavenderbend/coordination/cache_transfer.py
@@ -16,10 +16,10 @@
     from collections.abc import AsyncIterator
     from collections.abc import Sequence
 
-MOVED = metrics.counter(
+MOVED_CONTEXTS = metrics.counter(
     'lavenderbend_contexts_moved_total', 'Contexts moved off leaving engines.'
 )
-LEFT = metrics.counter(
+SKIPPED_CONTEXTS = metrics.counter(
     'lavenderbend_contexts_left_total', 'Contexts that did not pay to move.'
 )
 
@@ -109,17 +109,17 @@
     That is the time of computing it anew, by the chance that the chat
     returns at all: the longer it has been idle, the smaller.
     """
-    chance = math.exp(-context.idle / settings.return_seconds)
-    return chance * context.tokens / settings.tokens_per_second
+    probability = math.exp(-context.idle / settings.return_seconds)
+    return probability * context.tokens / settings.tokens_per_second
 
 
-def pays(context: Context, settings: TransferSettings) -> bool:
+def is_worthwhile(context: Context, settings: TransferSettings) -> bool:
     """Returns whether a context should be moved."""
     cost = move_seconds(context.tokens, settings) * settings.margin
     return saved_seconds(context, settings) > cost
 
 
-def plan(
+def plan_moves(
     contexts: Sequence[Context],
     loads: dict[str, int],
     settings: TransferSettings,
@@ -134,21 +134,23 @@
     if not loads:
         return []
     expected = {name: float(load) for name, load in loads.items()}
-    left = settings.seconds
+    seconds_left = settings.seconds
     moves: list[Move] = []
-    order = sorted(contexts, key=lambda one: (one.idle, one.chat))
-    for context in order:
+    by_idle_time = sorted(
+        contexts, key=lambda context: (context.idle, context.chat)
+    )
+    for context in by_idle_time:
         seconds = move_seconds(context.tokens, settings)
-        if not pays(context, settings) or seconds > left:
+        if not is_worthwhile(context, settings) or seconds > seconds_left:
             continue
-        left -= seconds
+        seconds_left -= seconds
         target = min(expected, key=lambda name: (expected[name], name))
         expected[target] += 0.1
         moves.append(Move(context, target, seconds))
     return moves
 
 
-async def carry_out(
+async def execute_moves(
     client: CacheClient, source: str, moves: Sequence[Move], seconds: float
 ) -> AsyncIterator[Move]:
     """Moves contexts within a time; yields the moves that succeeded.
@@ -160,13 +162,13 @@
     deadline = trio.current_time() + seconds
     failures = 0
     for move in moves:
-        left = deadline - trio.current_time()
-        if left <= 0 or failures >= MAX_FAILURES:
+        seconds_left = deadline - trio.current_time()
+        if seconds_left <= 0 or failures >= MAX_FAILURES:
             return
         moved = False
         try:
-            with trio.move_on_after(left):
-                moved = await move_one(client, source, move)
+            with trio.move_on_after(seconds_left):
+                moved = await move_context(client, source, move)
         except errors.UpstreamUnreachable:
             failures += 1
         if moved:
@@ -174,7 +176,7 @@
             yield move
 
 
-async def move_one(client: CacheClient, source: str, move: Move) -> bool:
+async def move_context(client: CacheClient, source: str, move: Move) -> bool:
     """Moves one context; returns whether it has arrived.
 
     Raises:
@@ -185,11 +187,11 @@
         data = await client.export_chat(source, chat)
         await client.import_chat(move.target, chat, data)
     except errors.UpstreamUnreachable:
-        LEFT.inc({'upstream': source})
+        SKIPPED_CONTEXTS.inc({'upstream': source})
         raise
     except errors.UpstreamError:
         # the context is computed anew at its next turn
-        LEFT.inc({'upstream': source})
+        SKIPPED_CONTEXTS.inc({'upstream': source})
         return False
-    MOVED.inc({'upstream': source})
+    MOVED_CONTEXTS.inc({'upstream': source})
     return True
--- a/lavenderbend/coordination/call_budget.py
+++ b/lavenderbend/coordination/call_budget.py
@@ -18,7 +18,7 @@
 
 MIN_PAUSE_SECONDS = 0.001
 
-HELD_BACK = metrics.counter(
+THROTTLED_CALLS = metrics.counter(
     'lavenderbend_key_value_held_back_total',
     'Calls that waited for the budget or were given up, by priority.',
 )
@@ -34,7 +34,7 @@
 
 
 # part of the burst that calls of a priority leave to those before them
-RESERVES = {
+RESERVED_FRACTIONS = {
     CallPriority.CLAIMS: 0.0,
     CallPriority.LEASES: 0.1,
     CallPriority.CONFIGURATION: 0.3,
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Allowance:
+class TokenBucket:
     """Calls that may be made now, growing at a rate.
 
     Attributes:
@@ -55,22 +55,22 @@
 
     rate: float
     burst: float
-    level: float = attrs.field(
+    tokens: float = attrs.field(
         default=attrs.Factory(lambda self: self.burst, takes_self=True)
     )
-    at: float = 0.0
+    refilled_at: float = 0.0
 
-    def wait(self, priority: CallPriority) -> float:
+    def try_take(self, priority: CallPriority) -> float:
         """Takes a call, or returns the seconds until it can be taken."""
         now = trio.current_time()
-        gained = max(0.0, now - self.at) * self.rate
-        self.level = min(self.burst, self.level + gained)
-        self.at = now
-        needed = 1.0 + RESERVES[priority] * self.burst
-        if self.level >= needed:
-            self.level -= 1.0
+        earned = max(0.0, now - self.refilled_at) * self.rate
+        self.tokens = min(self.burst, self.tokens + earned)
+        self.refilled_at = now
+        needed = 1.0 + RESERVED_FRACTIONS[priority] * self.burst
+        if self.tokens >= needed:
+            self.tokens -= 1.0
             return 0.0
-        return max(MIN_PAUSE_SECONDS, (needed - self.level) / self.rate)
+        return max(MIN_PAUSE_SECONDS, (needed - self.tokens) / self.rate)
 
 
 class CallBudget:
@@ -92,33 +92,35 @@
         writes_per_second: float = 150.0,
         reads_per_second: float = 200.0,
         burst_seconds: float = 0.5,
-        patience: float = 1.0,
+        max_wait_seconds: float = 1.0,
     ) -> None:
-        self.writes = Allowance(
+        self.writes = TokenBucket(
             writes_per_second, max(3.0, writes_per_second * burst_seconds)
         )
-        self.reads = Allowance(
+        self.reads = TokenBucket(
             reads_per_second, max(3.0, reads_per_second * burst_seconds)
         )
-        self.patience = patience
+        self.max_wait_seconds = max_wait_seconds
 
-    async def take(self, allowance: Allowance, priority: CallPriority) -> None:
+    async def acquire(
+        self, bucket: TokenBucket, priority: CallPriority
+    ) -> None:
         """Waits until a call may be made.
 
         Raises:
             KeyValueUnavailable: Not within the patience; nothing was sent.
         """
-        limit = trio.current_time() + self.patience
-        pause = allowance.wait(priority)
+        limit = trio.current_time() + self.max_wait_seconds
+        pause = bucket.try_take(priority)
         while pause > 0:
             labels = {'priority': priority.name.lower()}
-            HELD_BACK.inc(labels)
+            THROTTLED_CALLS.inc(labels)
             if trio.current_time() + pause > limit:
                 raise errors.KeyValueUnavailable(
                     f'over the call budget for {priority.name.lower()}'
                 )
             await trio.sleep(pause)
-            pause = allowance.wait(priority)
+            pause = bucket.try_take(priority)
 
 
 class BudgetedStore(interfaces.KeyValueStore):
@@ -140,19 +142,19 @@
         self.budget = budget
         self.priority = priority
 
-    async def take_read(self) -> None:
+    async def acquire_read(self) -> None:
         """Waits until a read may be made."""
-        await self.budget.take(self.budget.reads, self.priority)
+        await self.budget.acquire(self.budget.reads, self.priority)
 
-    async def take_write(self) -> None:
+    async def acquire_write(self) -> None:
         """Waits until a write may be made."""
-        await self.budget.take(self.budget.writes, self.priority)
+        await self.budget.acquire(self.budget.writes, self.priority)
 
     async def read(
         self, key: str, end: str | None = None, limit: int = 0
     ) -> interfaces.Range:
         """Reads within the budget."""
-        await self.take_read()
+        await self.acquire_read()
         return await self.store.read(key, end, limit)
 
     async def create(
@@ -164,43 +166,43 @@
         absent: str | None = None,
     ) -> bool:
         """Creates within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         return await self.store.create(key, value, lease, present, absent)
 
     async def replace(
         self, key: str, value: bytes, mod_revision: int, lease: int = 0
     ) -> bool:
         """Replaces within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         return await self.store.replace(key, value, mod_revision, lease)
 
     async def delete(
         self, key: str, end: str | None = None, mod_revision: int | None = None
     ) -> int:
         """Deletes within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         return await self.store.delete(key, end, mod_revision)
 
     async def grant_lease(self, seconds: float) -> int:
         """Grants within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         return await self.store.grant_lease(seconds)
 
     async def renew_lease(self, lease: int) -> float:
         """Renews within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         return await self.store.renew_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
         """Revokes within the budget."""
-        await self.take_write()
+        await self.acquire_write()
         await self.store.revoke_lease(lease)
 
     async def watch(
         self, key: str, end: str | None, start_revision: int
     ) -> AsyncIterator[tuple[interfaces.Change, ...]]:
         """Watches; opening it counts as a read."""
-        await self.take_read()
+        await self.acquire_read()
         changes = self.store.watch(key, end, start_revision)
         async with contextlib.aclosing(changes):
             async for batch in changes:
--- a/lavenderbend/coordination/claims/claims.py
+++ b/lavenderbend/coordination/claims/claims.py
@@ -11,10 +11,10 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.claims import inquiries as claim_inquiries
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.coordination.claims import outcomes as claim_outcomes
+from lavenderbend.coordination.claims import requester as claim_requester
 from lavenderbend.coordination.claims import shards as claim_shards
-from lavenderbend.coordination.claims import waiting as claim_waiting
 from lavenderbend.observe import logs
 from lavenderbend.protocol import messages_agreed as messages
 from lavenderbend.state import claims
@@ -28,9 +28,9 @@
     from lavenderbend.protocol import peer
 
 DEFAULT_PREFIX = '/lavenderbend/claims/'
-HOUSEKEEPING_SECONDS = 10.0
-DROP_IDLE_SECONDS = 60.0
-MAX_OWN = 20_000
+MAINTENANCE_SECONDS = 10.0
+IDLE_SHARD_SECONDS = 60.0
+MAX_LOCAL_OUTCOMES = 20_000
 
 
 @attrs.frozen
@@ -50,9 +50,9 @@
     shards: int = 1
     retention: float = 3600.0
     clock_margin: float = 300.0
-    gone_seconds: float = 5.0
-    shard: claim_waiting.ShardPolicy = attrs.field(
-        factory=claim_waiting.ShardPolicy
+    lost_router_seconds: float = 5.0
+    shard: commit_queue.ShardPolicy = attrs.field(
+        factory=commit_queue.ShardPolicy
     )
 
 
@@ -94,14 +94,16 @@
         self.shards: dict[int, claim_shards.Shard] = {}
         self.scopes: dict[int, trio.CancelScope] = {}
         self.outcomes = claim_outcomes.OutcomeQueue(link, self.owner, rng)
-        self.inquirer = claim_inquiries.Inquirer(name, link, self.owner, rng)
-        self.own: collections.OrderedDict[bytes, claims.Recorded] = (
+        self.requester = claim_requester.ClaimRequester(
+            name, link, self.owner, rng
+        )
+        self.local_outcomes: collections.OrderedDict[bytes, claims.Recorded] = (
             collections.OrderedDict()
         )
-        self.missing_since: dict[str, float] = {}
+        self.absent_since: dict[str, float] = {}
         self.nursery: trio.Nursery | None = None
         link.handle(messages.ClaimAsk, self.on_claim)
-        link.handle(messages.ClaimLook, self.on_look)
+        link.handle(messages.ClaimLook, self.on_lookup)
         link.handle(messages.OutcomesSay, self.on_outcomes)
 
     async def claim(
@@ -123,64 +125,64 @@
         )
         # a hash of the digest, so that digests of any length may come
         digest = claims.key_hash('', body_digest.hex())
-        inquiry = claim_inquiries.Inquiry(
+        claim_request = claim_requester.ClaimRequest(
             token,
             digest[: claims.DIGEST_BYTES],
             deadline,
             self.policy.shards,
         )
         try:
-            answer = await self.inquirer.decided(inquiry)
+            reply = await self.requester.resolve(claim_request)
         except BaseException:
             # whoever gives up must free the key: the claim may stand in
             # the log, or come to stand there later
-            if inquiry.unsure:
+            if claim_request.may_be_committed:
                 self.release(token)
             raise
-        return self.conclude(answer, token)
+        return self.interpret_reply(reply, token)
 
-    def conclude(
-        self, answer: messages.ClaimAnswer, token: claims.ClaimToken
+    def interpret_reply(
+        self, reply: messages.ClaimAnswer, token: claims.ClaimToken
     ) -> claims.Claimed | claims.Recorded:
         """Returns what the answer of an owner means to the asker."""
-        claim_inquiries.CLAIMS.inc({'result': answer.state})
-        state = claims.ClaimState(answer.state)
+        claim_requester.CLAIM_RESULTS.inc({'result': reply.state})
+        state = claims.ClaimState(reply.state)
         if state is claims.ClaimState.CLAIMED:
-            self.remember(token, errors.Outcome.UNKNOWN, None)
+            self.note_local_outcome(token, errors.Outcome.UNKNOWN, None)
             return claims.Claimed(token)
         if state is claims.ClaimState.REUSED:
             raise errors.IdempotencyKeyReused(
                 'the Idempotency-Key was used with another body'
             )
         if state is claims.ClaimState.RECORDED:
-            outcome = errors.Outcome(answer.outcome)
-            return claims.Recorded(outcome, answer.status)
+            outcome = errors.Outcome(reply.outcome)
+            return claims.Recorded(outcome, reply.status)
         return claims.Recorded(errors.Outcome.UNKNOWN)
 
-    async def on_look(
-        self, router: str, look: messages.ClaimLook
+    async def on_lookup(
+        self, router: str, lookup: messages.ClaimLook
     ) -> peer.Message:
         """Answers from what is known here without asking the service."""
-        own = self.own.get(look.key)
-        if own is not None:
+        local_outcome = self.local_outcomes.get(lookup.key)
+        if local_outcome is not None:
             return messages.ClaimAnswer(
                 claims.ClaimState.RECORDED.value,
-                own.outcome.value,
-                own.status,
+                local_outcome.outcome.value,
+                local_outcome.status,
             )
-        shard = self.shards.get(look.shard)
+        shard = self.shards.get(lookup.shard)
         if shard is None:
             return messages.ClaimAnswer(claims.ClaimState.ABSENT.value)
-        state = shard.table.state(look.key, look.token, look.digest)
+        state = shard.table.state(lookup.key, lookup.token, lookup.digest)
         if state is claims.ClaimState.RECORDED:
-            return self.recorded(shard, look.key)
+            return self.recorded_reply(shard, lookup.key)
         return messages.ClaimAnswer(state.value)
 
-    def owner(self, shard: int, tries: int = 0) -> str:
+    def owner(self, shard: int, rank: int = 0) -> str:
         """Returns the router to ask, the next by rank after each try."""
         routers = set(self.membership.routers()) | {self.name}
         order = hashing.rendezvous_order(f'claims {shard}', routers)
-        return order[tries % len(order)]
+        return order[rank % len(order)]
 
     async def record(
         self,
@@ -189,21 +191,21 @@
         status: int | None = None,
     ) -> None:
         """Queues the outcome of a claimed request; does not wait."""
-        self.remember(token, outcome, status)
+        self.note_local_outcome(token, outcome, status)
         self.outcomes.add(token, outcome, status)
 
-    def remember(
+    def note_local_outcome(
         self,
         token: claims.ClaimToken,
         outcome: errors.Outcome,
         status: int | None,
     ) -> None:
         """Notes what became of a request that was claimed here."""
-        self.own.pop(token.key, None)
+        self.local_outcomes.pop(token.key, None)
         if outcome is not errors.Outcome.NOT_RUN:
-            self.own[token.key] = claims.Recorded(outcome, status)
-        while len(self.own) > MAX_OWN:
-            self.own.popitem(last=False)
+            self.local_outcomes[token.key] = claims.Recorded(outcome, status)
+        while len(self.local_outcomes) > MAX_LOCAL_OUTCOMES:
+            self.local_outcomes.popitem(last=False)
 
     def release(self, token: claims.ClaimToken) -> None:
         """Queues the end of a claim that will never be run."""
@@ -218,28 +220,30 @@
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             nursery.start_soon(self.outcomes.run)
-            nursery.start_soon(self.keep_house)
-            nursery.start_soon(self.load_owned)
+            nursery.start_soon(self.run_maintenance)
+            nursery.start_soon(self.load_owned_shards)
 
     async def on_claim(
-        self, router: str, ask: messages.ClaimAsk
+        self, router: str, request: messages.ClaimAsk
     ) -> peer.Message:
         """Commits a peer's claim, or waits with it for the first copy."""
-        deadline = trio.current_time() + ask.patience
+        deadline = trio.current_time() + request.patience
         shard = None
-        if ask.shards == self.policy.shards:
-            shard = self.shard(ask.shard)
+        if request.shards == self.policy.shards:
+            shard = self.ensure_shard(request.shard)
         if shard is None:
             return messages.ClaimAnswer(claims.ClaimState.UNDECIDED.value)
-        line = claims.ClaimLine(ask.key, ask.token, ask.digest, router)
+        line = claims.ClaimLine(
+            request.key, request.token, request.digest, router
+        )
         state = await shard.claim(line, deadline)
         if state is claims.ClaimState.RUNNING:
-            state = await self.wait_for_first(shard, line, deadline)
+            state = await self.wait_for_first_copy(shard, line, deadline)
         if state is not claims.ClaimState.RECORDED:
             return messages.ClaimAnswer(state.value)
-        return self.recorded(shard, ask.key)
+        return self.recorded_reply(shard, request.key)
 
-    def recorded(
+    def recorded_reply(
         self, shard: claim_shards.Shard, key: bytes
     ) -> messages.ClaimAnswer:
         """Returns the recorded outcome, unknown while there is none."""
@@ -249,7 +253,7 @@
             return messages.ClaimAnswer(state, errors.Outcome.UNKNOWN.value)
         return messages.ClaimAnswer(state, held.outcome.value, held.status)
 
-    async def wait_for_first(
+    async def wait_for_first_copy(
         self,
         shard: claim_shards.Shard,
         line: claims.ClaimLine,
@@ -257,44 +261,48 @@
     ) -> claims.ClaimState:
         """Waits while the first copy runs on a router that is there."""
         held = shard.table.held.get(line.key)
-        if held is not None and self.gone(held.entry):
+        if held is not None and self.is_lost(held.entry):
             return claims.ClaimState.RECORDED
-        await shard.outcome(line.key, deadline)
+        await shard.wait_for_outcome(line.key, deadline)
         state = shard.table.state(line.key, line.token, line.digest)
         if state is claims.ClaimState.RUNNING:
             # the outcome may stand in the log by another owner's hand
-            shard.refresh()
+            shard.request_reading()
         if state is claims.ClaimState.ABSENT:
             # released, so the asker is to claim it again
             return claims.ClaimState.RUNNING
         return state
 
-    def gone(self, router: str) -> bool:
+    def is_lost(self, router: str) -> bool:
         """Returns whether a router has been missing for long enough."""
         now = trio.current_time()
         if router in self.membership.routers() or router == self.name:
-            self.missing_since.pop(router, None)
+            self.absent_since.pop(router, None)
             return False
-        since = self.missing_since.setdefault(router, now)
-        return now - since >= self.policy.gone_seconds
+        since = self.absent_since.setdefault(router, now)
+        return now - since >= self.policy.lost_router_seconds
 
     async def on_outcomes(
-        self, router: str, say: messages.OutcomesSay
+        self, router: str, request: messages.OutcomesSay
     ) -> peer.Message:
         """Commits the outcomes that a peer brings."""
-        shard = self.shard(say.shard)
+        shard = self.ensure_shard(request.shard)
         if shard is None:
             return messages.OutcomesAnswer(False)
         lines = tuple(
             claims.OutcomeLine(key, token, errors.Outcome(outcome), status)
             for key, token, outcome, status in zip(
-                say.keys, say.tokens, say.outcomes, say.statuses, strict=True
+                request.keys,
+                request.tokens,
+                request.outcomes,
+                request.statuses,
+                strict=True,
             )
         )
-        deadline = trio.current_time() + say.patience
+        deadline = trio.current_time() + request.patience
         return messages.OutcomesAnswer(await shard.record(lines, deadline))
 
-    def shard(self, number: int) -> claim_shards.Shard | None:
+    def ensure_shard(self, number: int) -> claim_shards.Shard | None:
         """Returns a shard, started here if it was not; None if stopped."""
         if number in self.shards:
             return self.shards[number]
@@ -309,7 +317,7 @@
             self.clock,
             self.policy.shards,
         )
-        shard.used_at = trio.current_time()
+        shard.last_used_at = trio.current_time()
         self.shards[number] = shard
         self.scopes[number] = trio.CancelScope()
         self.nursery.start_soon(self.run_shard, shard)
@@ -321,35 +329,35 @@
         with self.scopes[shard.number]:
             await shard.run()
 
-    async def load_owned(self) -> None:
+    async def load_owned_shards(self) -> None:
         """Loads the shards that fall to this router before they are asked."""
         while True:
             for number in range(self.policy.shards):
                 if self.owner(number) == self.name:
-                    self.shard(number)
+                    self.ensure_shard(number)
             await self.membership.wait_changed()
 
-    async def keep_house(self) -> None:
+    async def run_maintenance(self) -> None:
         """Compacts owned shards and drops those no longer used."""
         while True:
-            await trio.sleep(HOUSEKEEPING_SECONDS)
+            await trio.sleep(MAINTENANCE_SECONDS)
             for shard in list(self.shards.values()):
                 if self.owner(shard.number) == self.name:
                     await self.compact(shard)
-                elif self.idle(shard):
+                elif self.is_idle(shard):
                     del self.shards[shard.number]
                     self.scopes.pop(shard.number).cancel()
 
-    def idle(self, shard: claim_shards.Shard) -> bool:
+    def is_idle(self, shard: claim_shards.Shard) -> bool:
         """Returns whether nobody needs the shard here."""
         if shard.queue.claims or shard.queue.outcomes:
             return False
-        return trio.current_time() - shard.used_at >= DROP_IDLE_SECONDS
+        return trio.current_time() - shard.last_used_at >= IDLE_SHARD_SECONDS
 
     async def compact(self, shard: claim_shards.Shard) -> None:
         """Compacts a shard; a failure leaves it for the next time."""
-        kept = self.policy.retention + self.policy.clock_margin
+        retained_seconds = self.policy.retention + self.policy.clock_margin
         try:
-            await shard.compact(kept)
+            await shard.compact(retained_seconds)
         except errors.KeyValueError:
             return
--- a/lavenderbend/coordination/claims/waiting.py
+++ b/lavenderbend/coordination/claims/commit_queue.py
@@ -8,7 +8,7 @@
 from lavenderbend.state import claims
 
 MAX_BATCH_LINES = 5000
-CALLS_FOR_REFUSAL = 3
+FAILURES_BEFORE_REFUSAL = 3
 
 
 @attrs.frozen
@@ -25,14 +25,14 @@
             one that is down.
     """
 
-    gap: float = 0.0105
+    batch_interval: float = 0.0105
     outcome_delay: float = 0.5
-    give_up: float = 2.0
-    failed_calls: int = 8
+    outage_seconds: float = 2.0
+    outage_failures: int = 8
 
 
 @attrs.define(eq=False)
-class Waiting:
+class PendingClaim:
     """A claim that waits to be committed.
 
     Attributes:
@@ -49,8 +49,8 @@
 
     line: claims.ClaimLine
     deadline: float
-    since: float
-    reading: int = 0
+    queued_at: float
+    min_reading: int = 0
     failures: int = 0
     batched: bool = False
     state: claims.ClaimState | None = None
@@ -63,7 +63,7 @@
 
 
 @attrs.define(eq=False)
-class WaitingOutcomes:
+class PendingOutcomes:
     """Outcomes that wait to be committed.
 
     Attributes:
@@ -73,11 +73,11 @@
     """
 
     lines: tuple[claims.OutcomeLine, ...]
-    since: float
+    queued_at: float
     committed: trio.Event = attrs.field(factory=trio.Event)
 
 
-class Queue:
+class CommitQueue:
     """What waits to be committed to one shard, oldest first.
 
     Attributes:
@@ -88,8 +88,8 @@
 
     def __init__(self, policy: ShardPolicy) -> None:
         self.policy = policy
-        self.claims: list[Waiting] = []
-        self.outcomes: list[WaitingOutcomes] = []
+        self.claims: list[PendingClaim] = []
+        self.outcomes: list[PendingOutcomes] = []
 
     def due(self) -> bool:
         """Returns whether a batch is to be written now."""
@@ -101,24 +101,26 @@
         """Returns when the oldest outcomes have waited long enough."""
         if not self.outcomes:
             return float('inf')
-        return self.outcomes[0].since + self.policy.outcome_delay
+        return self.outcomes[0].queued_at + self.policy.outcome_delay
 
-    def next_claims(self) -> list[Waiting]:
+    def next_claims(self) -> list[PendingClaim]:
         """Returns the oldest claims, as many as fit one batch."""
         return self.claims[:MAX_BATCH_LINES]
 
-    def next_outcomes(self) -> list[WaitingOutcomes]:
+    def next_outcomes(self) -> list[PendingOutcomes]:
         """Returns the oldest outcomes, as many as fit one batch."""
         lines = 0
-        found = []
-        for waiting in self.outcomes:
-            lines += len(waiting.lines)
-            if found and lines > MAX_BATCH_LINES:
+        batch = []
+        for pending in self.outcomes:
+            lines += len(pending.lines)
+            if batch and lines > MAX_BATCH_LINES:
                 break
-            found.append(waiting)
-        return found
+            batch.append(pending)
+        return batch
 
-    def answer(self, table: claims.ClaimTable, shown: int) -> None:
+    def resolve_claims(
+        self, table: claims.ClaimTable, applied_reading: int
+    ) -> None:
         """Answers the claims that the table decides.
 
         Args:
@@ -126,30 +128,30 @@
             shown: The latest reading of the log that it shows.
         """
         now = trio.current_time()
-        left = []
-        for waiting in self.claims:
-            line = waiting.line
+        undecided = []
+        for pending in self.claims:
+            line = pending.line
             state = table.state(line.key, line.token, line.digest)
             if (line.key, line.token) in table.released:
                 # its asker has given up; it must not be committed again
-                waiting.decide(claims.ClaimState.UNAVAILABLE)
-            elif decides(state, waiting, shown):
-                waiting.decide(state)
-            elif waiting.deadline > now:
-                left.append(waiting)
-        self.claims = left
-
-    def committed(self, outcomes: list[WaitingOutcomes]) -> None:
+                pending.decide(claims.ClaimState.UNAVAILABLE)
+            elif is_decisive(state, pending, applied_reading):
+                pending.decide(state)
+            elif pending.deadline > now:
+                undecided.append(pending)
+        self.claims = undecided
+
+    def note_committed(self, outcomes: list[PendingOutcomes]) -> None:
         """Tells those who wait for outcomes to be committed."""
-        for waiting in outcomes:
-            waiting.committed.set()
+        for pending in outcomes:
+            pending.committed.set()
         self.outcomes = [
-            waiting
-            for waiting in self.outcomes
-            if not waiting.committed.is_set()
+            pending
+            for pending in self.outcomes
+            if not pending.committed.is_set()
         ]
 
-    def call_failed(self, began: float, refuse: bool) -> None:
+    def note_failed_call(self, began: float, refuse: bool) -> None:
         """Counts a failed call to the service for the claims it concerns.
 
         Once the service has been silent for a while, a claim is refused by
@@ -160,18 +162,20 @@
             began: When the call began.
             refuse: Whether the service has been silent for too long.
         """
-        for waiting in self.claims:
-            waiting.failures += waiting.since <= began
-            if refuse and waiting.failures >= CALLS_FOR_REFUSAL:
-                waiting.decide(
+        for pending in self.claims:
+            pending.failures += pending.queued_at <= began
+            if refuse and pending.failures >= FAILURES_BEFORE_REFUSAL:
+                pending.decide(
                     claims.ClaimState.UNAVAILABLE
-                    if waiting.batched
+                    if pending.batched
                     else claims.ClaimState.REFUSED
                 )
         self.claims = [w for w in self.claims if w.state is None]
 
 
-def decides(state: claims.ClaimState, waiting: Waiting, shown: int) -> bool:
+def is_decisive(
+    state: claims.ClaimState, pending: PendingClaim, applied_reading: int
+) -> bool:
     """Returns whether a state of the table answers a claim.
 
     The claim with the other body may have been released by another router,
@@ -179,5 +183,5 @@
     be told for good that a key is in use that is free.
     """
     if state is claims.ClaimState.REUSED:
-        return waiting.reading <= shown
+        return pending.min_reading <= applied_reading
     return state is not claims.ClaimState.ABSENT
--- a/lavenderbend/coordination/claims/outcomes.py
+++ b/lavenderbend/coordination/claims/outcomes.py
@@ -17,12 +17,12 @@
 
     from lavenderbend.coordination import interfaces
 
-GATHER_SECONDS = 0.1
-ASK_SECONDS = 2.0
-ANSWER_MARGIN_SECONDS = 0.5
+BATCH_DELAY_SECONDS = 0.1
+OWNER_WAIT_SECONDS = 2.0
+REPLY_MARGIN_SECONDS = 0.5
 RETRY_SECONDS = 0.5
 MAX_QUEUED = 100_000
-MAX_LINES = 2000
+MAX_REQUEST_OUTCOMES = 2000
 
 DROPPED = metrics.counter(
     'lavenderbend_claim_outcomes_dropped_total',
@@ -54,7 +54,7 @@
         self.queued = trio.Event()
         self.delivering = False
         self.delivered = trio.Event()
-        self.tries: dict[int, int] = {}
+        self.failed_requests: dict[int, int] = {}
 
     def add(
         self,
@@ -80,62 +80,64 @@
         """Takes queued outcomes to the owners of their shards."""
         while True:
             await self.queued.wait()
-            await trio.sleep(GATHER_SECONDS)
+            await trio.sleep(BATCH_DELAY_SECONDS)
             self.queued = trio.Event()
-            queue = self.take()
+            queue = self.next_batches()
             self.delivering = True
             async with trio.open_nursery() as nursery:
                 for shard, lines in queue.items():
-                    nursery.start_soon(self.deliver_lines, shard, lines)
+                    nursery.start_soon(self.deliver, shard, lines)
             self.delivering = False
             delivered, self.delivered = self.delivered, trio.Event()
             delivered.set()
 
-    def take(self) -> dict[int, list[claims.OutcomeLine]]:
+    def next_batches(self) -> dict[int, list[claims.OutcomeLine]]:
         """Takes the next outcomes, no more than fit one batch of a log.
 
         After a long outage there are many: all in one entry would be over
         the service's limit of a value, and nothing would ever be written.
         """
-        taken = {}
+        batches = {}
         for shard, lines in self.queue.items():
-            taken[shard] = lines[:MAX_LINES]
-            self.queue[shard] = lines[MAX_LINES:]
+            batches[shard] = lines[:MAX_REQUEST_OUTCOMES]
+            self.queue[shard] = lines[MAX_REQUEST_OUTCOMES:]
         self.queue = {n: lines for n, lines in self.queue.items() if lines}
         if self.queue:
             self.queued.set()
-        return taken
+        return batches
 
-    async def deliver_lines(
+    async def deliver(
         self, shard: int, lines: list[claims.OutcomeLine]
     ) -> None:
         """Has outcomes recorded, or puts them back into the queue."""
-        say = messages.OutcomesSay(
+        request = messages.OutcomesSay(
             shard,
             [line.key for line in lines],
             [line.token for line in lines],
             [line.outcome.value for line in lines],
             [line.status for line in lines],
-            ASK_SECONDS,
+            OWNER_WAIT_SECONDS,
         )
-        if await self.say(say, self.tries.get(shard, 0)):
-            self.tries.pop(shard, None)
+        if await self.send_request(request, self.failed_requests.get(shard, 0)):
+            self.failed_requests.pop(shard, None)
             return
         # the next by rank; an owner that was asked in vain may be gone
-        self.tries[shard] = self.tries.get(shard, 0) + 1
+        self.failed_requests[shard] = self.failed_requests.get(shard, 0) + 1
         self.queue.setdefault(shard, [])[:0] = lines
         self.queued.set()
         pause = RETRY_SECONDS
         await trio.sleep(self.rng.uniform(pause / 2, pause))
 
-    async def say(self, say: messages.OutcomesSay, tries: int) -> bool:
+    async def send_request(
+        self, request: messages.OutcomesSay, rank: int
+    ) -> bool:
         """Asks one owner to record outcomes; returns whether it did."""
-        timeout = say.patience + ANSWER_MARGIN_SECONDS
-        owner = self.owner(say.shard, tries)
+        timeout = request.patience + REPLY_MARGIN_SECONDS
+        owner = self.owner(request.shard, rank)
         try:
             with trio.move_on_after(timeout):
-                answer = await self.link.request(owner, say, timeout)
-                return answer.committed
+                reply = await self.link.request(owner, request, timeout)
+                return reply.committed
         except errors.PeerError:
             pass
         return False
--- a/lavenderbend/coordination/claims/inquiries.py
+++ b/lavenderbend/coordination/claims/requester.py
@@ -18,26 +18,26 @@
 
     from lavenderbend.coordination import interfaces
 
-ASK_SECONDS = 1.0
-ANSWER_MARGIN_SECONDS = 0.5
+OWNER_WAIT_SECONDS = 1.0
+REPLY_MARGIN_SECONDS = 0.5
 REFUSED_RETRY_SECONDS = 2.0
-UNDECIDED_SECONDS = 0.02
-LOOK_SECONDS = 0.2
-LOOKS = 8
-GIVEN_UP = (claims.ClaimState.REFUSED, claims.ClaimState.UNAVAILABLE)
-KNOWN = (
+UNDECIDED_PAUSE_SECONDS = 0.02
+LOOKUP_TIMEOUT_SECONDS = 0.2
+LOOKUP_ROUTERS = 8
+SERVICE_DOWN_STATES = (claims.ClaimState.REFUSED, claims.ClaimState.UNAVAILABLE)
+CLAIMED_STATES = (
     claims.ClaimState.CLAIMED,
     claims.ClaimState.RUNNING,
     claims.ClaimState.RECORDED,
 )
 
-CLAIMS = metrics.counter(
+CLAIM_RESULTS = metrics.counter(
     'lavenderbend_claims_total', 'Claims by what their asker was told.'
 )
 
 
 @attrs.define
-class Inquiry:
+class ClaimRequest:
     """What one call of `Claims.claim` goes through.
 
     Attributes:
@@ -53,15 +53,15 @@
     digest: bytes
     deadline: float
     shards: int
-    tries: int = 0
-    unsure: bool = False
+    failed_requests: int = 0
+    may_be_committed: bool = False
 
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Returns the seconds to the deadline."""
         return self.deadline - trio.current_time()
 
 
-class Inquirer:
+class ClaimRequester:
     """Asks owners of shards on behalf of one router.
 
     Attributes:
@@ -83,22 +83,24 @@
         self.owner = owner
         self.rng = rng
 
-    async def decided(self, inquiry: Inquiry) -> messages.ClaimAnswer:
+    async def resolve(
+        self, claim_request: ClaimRequest
+    ) -> messages.ClaimAnswer:
         """Asks owners, and others where these cannot decide.
 
         Raises:
             ClaimUnavailable: Nobody knows anything of the key.
         """
         try:
-            return await self.ask_owners(inquiry)
+            return await self.query_owners(claim_request)
         except errors.ClaimUnavailable:
-            answer = await self.look_around(inquiry)
-            if answer is None:
+            reply = await self.query_former_owners(claim_request)
+            if reply is None:
                 raise
-            return answer
+            return reply
 
-    async def look_around(
-        self, inquiry: Inquiry
+    async def query_former_owners(
+        self, claim_request: ClaimRequest
     ) -> messages.ClaimAnswer | None:
         """Returns what routers know that may have owned the shard before.
 
@@ -106,82 +108,93 @@
         the log: it would say 'not run' to a copy of a request that the
         owner before knows to have run.
         """
-        token = inquiry.token
-        look = messages.ClaimLook(
-            token.shard, token.key, token.id, inquiry.digest
+        token = claim_request.token
+        lookup = messages.ClaimLook(
+            token.shard, token.key, token.id, claim_request.digest
         )
-        found = []
+        replies = []
 
-        async def ask(router: str) -> None:
+        async def look_up(router: str) -> None:
             try:
-                with trio.move_on_after(LOOK_SECONDS):
-                    answer = await self.link.request(router, look, LOOK_SECONDS)
-                    if claims.ClaimState(answer.state) in KNOWN:
-                        found.append(answer)
+                with trio.move_on_after(LOOKUP_TIMEOUT_SECONDS):
+                    reply = await self.link.request(
+                        router, lookup, LOOKUP_TIMEOUT_SECONDS
+                    )
+                    if claims.ClaimState(reply.state) in CLAIMED_STATES:
+                        replies.append(reply)
             except errors.PeerError:
                 return
 
-        routers = {self.owner(token.shard, rank) for rank in range(LOOKS)}
+        routers = {
+            self.owner(token.shard, rank) for rank in range(LOOKUP_ROUTERS)
+        }
         async with trio.open_nursery() as nursery:
             for router in {*routers, self.name}:
-                nursery.start_soon(ask, router)
-        return found[0] if found else None
+                nursery.start_soon(look_up, router)
+        return replies[0] if replies else None
 
-    async def ask_owners(self, inquiry: Inquiry) -> messages.ClaimAnswer:
+    async def query_owners(
+        self, claim_request: ClaimRequest
+    ) -> messages.ClaimAnswer:
         """Asks owners until one decides, or the deadline comes.
 
         Raises:
             ClaimUnavailable: None did.
         """
         running = None
-        while inquiry.left() > 0:
-            answer = await self.ask(inquiry)
-            state = claims.ClaimState(answer.state)
-            if state in GIVEN_UP:
-                raise self.unavailable('the key-value service is down')
+        while claim_request.seconds_left() > 0:
+            reply = await self.query_owner(claim_request)
+            state = claims.ClaimState(reply.state)
+            if state in SERVICE_DOWN_STATES:
+                raise self.unavailable_error('the key-value service is down')
             if state is claims.ClaimState.RUNNING:
-                running = answer
+                running = reply
             elif state is claims.ClaimState.UNDECIDED:
-                inquiry.tries += 1
-                await trio.sleep(self.rng.uniform(0, UNDECIDED_SECONDS))
-            elif inquiry.left() > 0:
-                return answer
+                claim_request.failed_requests += 1
+                await trio.sleep(self.rng.uniform(0, UNDECIDED_PAUSE_SECONDS))
+            elif claim_request.seconds_left() > 0:
+                return reply
         if running is not None:
             return running
-        raise self.unavailable('not decided before the deadline')
+        raise self.unavailable_error('not decided before the deadline')
 
-    def unavailable(self, detail: str) -> errors.ClaimUnavailable:
+    def unavailable_error(self, detail: str) -> errors.ClaimUnavailable:
         """Returns the error for a claim that was not committed."""
-        CLAIMS.inc({'result': claims.ClaimState.UNAVAILABLE.value})
+        CLAIM_RESULTS.inc({'result': claims.ClaimState.UNAVAILABLE.value})
         return errors.ClaimUnavailable(detail, REFUSED_RETRY_SECONDS)
 
-    async def ask(self, inquiry: Inquiry) -> messages.ClaimAnswer:
+    async def query_owner(
+        self, claim_request: ClaimRequest
+    ) -> messages.ClaimAnswer:
         """Asks one owner; undecided if it cannot be reached.
 
         After a failure the next router by rank is asked, with the same
         token: if the first one committed the claim all the same, the log
         says so and the answer is 'claimed', once.
         """
-        token = inquiry.token
-        patience = min(inquiry.left(), ASK_SECONDS)
-        ask = messages.ClaimAsk(
+        token = claim_request.token
+        wait = min(claim_request.seconds_left(), OWNER_WAIT_SECONDS)
+        message = messages.ClaimAsk(
             token.shard,
             token.key,
             token.id,
-            inquiry.digest,
-            patience,
-            inquiry.shards,
+            claim_request.digest,
+            wait,
+            claim_request.shards,
+        )
+        timeout = min(claim_request.seconds_left(), wait + REPLY_MARGIN_SECONDS)
+        owner = self.owner(token.shard, claim_request.failed_requests)
+        first_request, claim_request.may_be_committed = (
+            not claim_request.may_be_committed,
+            True,
         )
-        timeout = min(inquiry.left(), patience + ANSWER_MARGIN_SECONDS)
-        owner = self.owner(token.shard, inquiry.tries)
-        sure, inquiry.unsure = not inquiry.unsure, True
         try:
             with trio.move_on_after(timeout):
-                answer = await self.link.request(owner, ask, timeout)
+                reply = await self.link.request(owner, message, timeout)
                 refused = claims.ClaimState.REFUSED.value
-                if sure and answer.state == refused:
-                    inquiry.unsure = False
-                return answer
+                if first_request and reply.state == refused:
+                    claim_request.may_be_committed = False
+                return reply
         except errors.PeerError:
             pass
         return messages.ClaimAnswer(claims.ClaimState.UNDECIDED.value)
--- a/lavenderbend/coordination/claims/shards.py
+++ b/lavenderbend/coordination/claims/shards.py
@@ -10,7 +10,7 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import log
-from lavenderbend.coordination.claims import waiting as claim_waiting
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.observe import logs
 from lavenderbend.observe import metrics
 from lavenderbend.protocol import records_claims
@@ -26,7 +26,7 @@
 LOAD_PAGE_ENTRIES = 250
 RETRY_SECONDS = 0.05
 MAX_RETRY_SECONDS = 0.25
-UNUSABLE = (errors.CodecError, errors.ClaimLayoutDiffers)
+UNUSABLE_LOG_ERRORS = (errors.CodecError, errors.ClaimLayoutDiffers)
 
 BATCHES = metrics.counter(
     'lavenderbend_claim_batches_total',
@@ -65,7 +65,7 @@
         store: interfaces.KeyValueStore,
         prefix: str,
         rng: random.Random,
-        policy: claim_waiting.ShardPolicy,
+        policy: commit_queue.ShardPolicy,
         clock: Callable[[], float] = time.time,
         shards: int = 1,
     ) -> None:
@@ -78,19 +78,19 @@
         self.policy = policy
         self.clock = clock
         self.table = claims.ClaimTable()
-        self.next = 0
-        self.queue = claim_waiting.Queue(policy)
-        self.work = trio.Event()
-        self.progress = trio.Event()
-        self.last_batch = float('-inf')
-        self.attempt_at = 0.0
+        self.next_entry = 0
+        self.queue = commit_queue.CommitQueue(policy)
+        self.work_queued = trio.Event()
+        self.table_changed = trio.Event()
+        self.last_batch_at = float('-inf')
+        self.call_began_at = 0.0
         self.down_since: float | None = None
         self.failures = 0
-        self.stale = True
-        self.begun = 0
-        self.shown = 0
-        self.used_at = 0.0
-        self.loads: list[float] = []
+        self.needs_reading = True
+        self.readings_begun = 0
+        self.applied_reading = 0
+        self.last_used_at = 0.0
+        self.reading_seconds: list[float] = []
 
     async def claim(
         self, line: claims.ClaimLine, deadline: float
@@ -100,133 +100,136 @@
         Only `REFUSED` promises that the claim will not come to stand in
         the log.
         """
-        self.used_at = trio.current_time()
-        known = self.table.state(line.key, line.token, line.digest)
-        reading = 0
-        if known is claims.ClaimState.REUSED:
+        self.last_used_at = trio.current_time()
+        state = self.table.state(line.key, line.token, line.digest)
+        min_reading = 0
+        if state is claims.ClaimState.REUSED:
             # the claim with the other body may have been released since;
             # what is on its way now may not show that
-            self.stale = True
-            reading = self.begun + 1
-        elif known is not claims.ClaimState.ABSENT:
+            self.needs_reading = True
+            min_reading = self.readings_begun + 1
+        elif state is not claims.ClaimState.ABSENT:
             # also while the service is down: a copy of a request that ran
             # must not hear 'not run' where it is known that it ran
-            return known
-        waiting = claim_waiting.Waiting(
-            line, deadline, trio.current_time(), reading
+            return state
+        pending = commit_queue.PendingClaim(
+            line, deadline, trio.current_time(), min_reading
         )
-        self.queue.claims.append(waiting)
-        self.work.set()
+        self.queue.claims.append(pending)
+        self.work_queued.set()
         with trio.move_on_at(deadline):
-            await waiting.decided.wait()
-        return waiting.state or claims.ClaimState.UNDECIDED
+            await pending.decided.wait()
+        return pending.state or claims.ClaimState.UNDECIDED
 
     async def record(
         self, lines: tuple[claims.OutcomeLine, ...], deadline: float
     ) -> bool:
         """Commits outcomes; returns whether they stand in the log."""
-        self.used_at = trio.current_time()
-        waiting = claim_waiting.WaitingOutcomes(lines, trio.current_time())
-        self.queue.outcomes.append(waiting)
-        self.work.set()
+        self.last_used_at = trio.current_time()
+        pending = commit_queue.PendingOutcomes(lines, trio.current_time())
+        self.queue.outcomes.append(pending)
+        self.work_queued.set()
         with trio.move_on_at(deadline):
-            await waiting.committed.wait()
-        if waiting.committed.is_set():
+            await pending.committed.wait()
+        if pending.committed.is_set():
             return True
-        if waiting in self.queue.outcomes:
-            self.queue.outcomes.remove(waiting)
+        if pending in self.queue.outcomes:
+            self.queue.outcomes.remove(pending)
         return False
 
-    async def outcome(self, key: bytes, deadline: float) -> None:
+    async def wait_for_outcome(self, key: bytes, deadline: float) -> None:
         """Waits until the key's claim has an outcome or is released."""
-        while self.running(key):
-            progress = self.progress
+        while self.is_running(key):
+            table_changed = self.table_changed
             with trio.move_on_at(deadline) as scope:
-                await progress.wait()
+                await table_changed.wait()
             if scope.cancelled_caught:
                 return
 
-    def running(self, key: bytes) -> bool:
+    def is_running(self, key: bytes) -> bool:
         """Returns whether the key's claim has no outcome."""
         held = self.table.held.get(key)
         return held is not None and held.outcome is None
 
-    def refuses(self) -> bool:
+    def is_refusing(self) -> bool:
         """Returns whether the service has been silent for too long."""
-        if self.failures < self.policy.failed_calls:
+        if self.failures < self.policy.outage_failures:
             return False
-        silent = trio.current_time() - self.down_since
-        return silent >= self.policy.give_up
+        silence = trio.current_time() - self.down_since
+        return silence >= self.policy.outage_seconds
 
-    def refresh(self) -> None:
+    def request_reading(self) -> None:
         """Has the log read for what others wrote."""
-        self.stale = True
-        self.work.set()
+        self.needs_reading = True
+        self.work_queued.set()
 
     async def run(self) -> None:
         """Writes batches until cancelled."""
         pause = RETRY_SECONDS
         while True:
             await self.wait_for_work()
-            self.attempt_at = trio.current_time()
+            self.call_began_at = trio.current_time()
             try:
-                if self.stale or self.down_since is not None:
+                if self.needs_reading or self.down_since is not None:
                     await self.catch_up()
-                self.queue.answer(self.table, self.shown)
+                self.queue.resolve_claims(self.table, self.applied_reading)
                 if self.queue.due():
                     await self.commit()
-                self.up()
+                self.note_success()
                 pause = RETRY_SECONDS
             except errors.LogCompacted:
                 self.reset()
             except (errors.KeyValueError, errors.CodecError) as exc:
                 # an entry that cannot be read may hold a claim: nothing is
                 # answered from beyond it
-                if isinstance(exc, UNUSABLE) and self.down_since is None:
+                if (
+                    isinstance(exc, UNUSABLE_LOG_ERRORS)
+                    and self.down_since is None
+                ):
                     logs.change('claims_unusable', fault=str(exc))
-                self.down()
+                self.note_failure()
                 await trio.sleep(self.rng.uniform(pause / 2, pause))
                 pause = min(pause * 2, MAX_RETRY_SECONDS)
 
     async def wait_for_work(self) -> None:
         """Waits until there is something to write, and for the gap."""
         if self.down_since is None:
-            self.work = trio.Event()
-            if not self.stale and not self.queue.due():
+            self.work_queued = trio.Event()
+            if not self.needs_reading and not self.queue.due():
                 with trio.move_on_at(self.queue.outcomes_due()):
-                    await self.work.wait()
-        await trio.sleep_until(self.last_batch + self.policy.gap)
+                    await self.work_queued.wait()
+        await trio.sleep_until(self.last_batch_at + self.policy.batch_interval)
 
     async def catch_up(self) -> None:
         """Reads what stands in the log beyond the table."""
         began = trio.current_time()
         # who asks for a reading from here on is not served by this one
-        self.stale = False
-        self.begun += 1
+        self.needs_reading = False
+        self.readings_begun += 1
         try:
-            await self.read_on()
+            await self.read_new_entries()
         except BaseException:
-            self.stale = True
+            self.needs_reading = True
             raise
-        self.shown = self.begun
-        self.loads.append(trio.current_time() - began)
-        del self.loads[:-100]
+        self.applied_reading = self.readings_begun
+        self.reading_seconds.append(trio.current_time() - began)
+        del self.reading_seconds[:-100]
 
-    async def read_on(self) -> None:
+    async def read_new_entries(self) -> None:
         """Takes the entries beyond the table, page by page."""
-        if self.next == 0:
+        if self.next_entry == 0:
             await self.check_layout()
         while True:
-            if self.next == 0:
+            if self.next_entry == 0:
                 page = await self.log.read_kept(1, LOAD_PAGE_ENTRIES)
             else:
-                page = await self.log.read(self.next, LOAD_PAGE_ENTRIES)
+                page = await self.log.read(self.next_entry, LOAD_PAGE_ENTRIES)
             for entry in page.entries:
                 self.apply(entry)
             LOADED.add({}, len(page.entries))
             if page.last:
                 break
-        self.next = max(self.next, 1)
+        self.next_entry = max(self.next_entry, 1)
 
     async def check_layout(self) -> None:
         """Makes sure that every router spreads the claims alike.
@@ -239,8 +242,8 @@
         """
         value = str(self.shards).encode()
         await self.store.create(self.layout_key, value)
-        found = await self.store.read(self.layout_key)
-        if not found.items or found.items[0].value != value:
+        layout = await self.store.read(self.layout_key)
+        if not layout.items or layout.items[0].value != value:
             raise errors.ClaimLayoutDiffers(
                 f'{self.shards} shards here, not so at {self.layout_key}'
             )
@@ -248,9 +251,9 @@
     def apply(self, entry: log.Entry) -> None:
         """Takes an entry of the log into the table."""
         self.table.apply(entry.number, records_claims.decode(entry.value))
-        self.next = entry.number + 1
-        progress, self.progress = self.progress, trio.Event()
-        progress.set()
+        self.next_entry = entry.number + 1
+        table_changed, self.table_changed = self.table_changed, trio.Event()
+        table_changed.set()
 
     async def commit(self) -> None:
         """Writes one batch and takes whatever stands at its number."""
@@ -262,26 +265,26 @@
             claims.Batch(
                 secrets.token_bytes(BATCH_ID_BYTES),
                 self.clock(),
-                tuple(waiting.line for waiting in batched),
+                tuple(pending.line for pending in batched),
                 tuple(line for item in outcomes for line in item.lines),
             )
         )
-        for waiting in batched:
-            waiting.batched = True
-        self.last_batch = trio.current_time()
-        entry = await self.settled(self.next, value)
+        for pending in batched:
+            pending.batched = True
+        self.last_batch_at = trio.current_time()
+        entry = await self.append_confirmed(self.next_entry, value)
         self.apply(entry)
         if entry.value == value:
             BATCHES.inc({'result': 'ours'})
-            self.queue.committed(outcomes)
+            self.queue.note_committed(outcomes)
         else:
             # another router took the number: its entry counts first, and
             # ours is written again behind it
             BATCHES.inc({'result': 'taken'})
-            self.stale = True
-        self.queue.answer(self.table, self.shown)
+            self.needs_reading = True
+        self.queue.resolve_claims(self.table, self.applied_reading)
 
-    async def settled(self, number: int, value: bytes) -> log.Entry:
+    async def append_confirmed(self, number: int, value: bytes) -> log.Entry:
         """Appends until it is known what stands at the number.
 
         A batch whose answer was lost may stand there. Writing its claims
@@ -290,37 +293,37 @@
         """
         pause = RETRY_SECONDS
         while True:
-            self.attempt_at = trio.current_time()
+            self.call_began_at = trio.current_time()
             try:
                 entry = await self.log.append(number, value)
-                self.up()
+                self.note_success()
                 return entry
             except errors.LogCompacted:
                 raise
             except errors.KeyValueError:
                 BATCHES.inc({'result': 'lost'})
-                self.down()
+                self.note_failure()
             await trio.sleep(self.rng.uniform(pause / 2, pause))
             pause = min(pause * 2, MAX_RETRY_SECONDS)
 
-    def up(self) -> None:
+    def note_success(self) -> None:
         """Notes that the service answers."""
         self.down_since = None
         self.failures = 0
 
-    def down(self) -> None:
+    def note_failure(self) -> None:
         """Notes that it does not, and refuses who has waited too long."""
         now = trio.current_time()
         self.failures += 1
         if self.down_since is None:
             self.down_since = now
-        self.queue.call_failed(self.attempt_at, self.refuses())
+        self.queue.note_failed_call(self.call_began_at, self.is_refusing())
 
     def reset(self) -> None:
         """Forgets the table; the log was compacted beyond it."""
         self.table = claims.ClaimTable()
-        self.next = 0
-        self.stale = True
+        self.next_entry = 0
+        self.needs_reading = True
 
     async def compact(self, retention: float) -> None:
         """Forgets claims older than the retention, here and in the log."""
--- a/lavenderbend/coordination/dispatch/answers.py
+++ b/lavenderbend/coordination/dispatch/answers.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
     from collections.abc import Mapping
 
-    from lavenderbend.coordination.dispatch import exchange
+    from lavenderbend.coordination.dispatch import exchange as exchange_module
 
 CLOSE_SECONDS = 5.0
 
@@ -37,17 +37,17 @@
         status: int,
         headers: Mapping[str, str],
         decision_id: str,
-        first: bytes | None,
-        run: exchange.Exchange | None,
-        finish: Callable[[BaseException | None], None],
+        first_piece: bytes | None,
+        exchange: exchange_module.Exchange | None,
+        on_end: Callable[[BaseException | None], None],
     ) -> None:
         self.status = status
         self.headers = headers
         self.decision_id = decision_id
-        self.first = first
-        self.run = run
-        self.finish = finish
-        self.begun = False
+        self.first_piece = first_piece
+        self.exchange = exchange
+        self.on_end = on_end
+        self.first_taken = False
         self.finished = False
 
     async def next_piece(self) -> bytes | None:
@@ -56,19 +56,19 @@
         Raises:
             RequestError: The answer cannot be completed.
         """
-        if not self.begun:
-            self.begun = True
-            piece = self.first
-        elif self.run is None:
+        if not self.first_taken:
+            self.first_taken = True
+            piece = self.first_piece
+        elif self.exchange is None:
             piece = None
         else:
             try:
-                piece = await self.run.next_piece()
+                piece = await self.exchange.next_piece()
             except errors.RequestError as exc:
-                self.end(exc)
+                self.note_end(exc)
                 raise
         if piece is None:
-            self.end(None)
+            self.note_end(None)
         return piece
 
     async def chunks(self) -> AsyncIterator[bytes]:
@@ -79,11 +79,11 @@
     def __aiter__(self) -> AsyncIterator[bytes]:
         return self.chunks()
 
-    def end(self, error: BaseException | None) -> None:
+    def note_end(self, error: BaseException | None) -> None:
         """Notes the end, once."""
         if not self.finished:
             self.finished = True
-            self.finish(error)
+            self.on_end(error)
 
     async def close(self) -> None:
         """Ends the answer; the upstream's work is cancelled if unfinished."""
@@ -93,6 +93,6 @@
         # must go back and the upstream must be told all the same
         with trio.move_on_after(CLOSE_SECONDS) as scope:
             scope.shield = True
-            if self.run is not None:
-                await self.run.give_up()
-        self.end(errors.CallerGone('the caller went away'))
+            if self.exchange is not None:
+                await self.exchange.abandon()
+        self.note_end(errors.CallerGone('the caller went away'))
--- a/lavenderbend/coordination/dispatch/once.py
+++ b/lavenderbend/coordination/dispatch/at_most_once.py
@@ -14,7 +14,7 @@
 from lavenderbend.state import hashing
 
 if TYPE_CHECKING:
-    from lavenderbend.coordination.dispatch import exchange
+    from lavenderbend.coordination.dispatch import exchange as exchange_module
     from lavenderbend.state import claims as claims_state
     from lavenderbend.state import requests
 
@@ -56,7 +56,7 @@
     return digest.digest()
 
 
-async def run_whole(run: exchange.Exchange) -> bytes:
+async def run_to_end(exchange: exchange_module.Exchange) -> bytes:
     """Runs a request to its end and returns the whole body.
 
     The caller shields it: cut off because its own caller went away, nobody
@@ -66,18 +66,18 @@
     Raises:
         RequestError: The answer cannot be had.
     """
-    limit = run.parts.settings.answers.whole_bytes
+    limit = exchange.components.settings.answers.whole_bytes
     parts: list[bytes] = []
     size = 0
-    with trio.move_on_at(run.deadline):
-        piece = await run.begin()
+    with trio.move_on_at(exchange.deadline):
+        piece = await exchange.begin()
         while piece is not None:
             size += len(piece)
             if size > limit:
-                await run.give_up()
+                await exchange.abandon()
                 raise errors.RequestFailed('the answer is too large')
             parts.append(piece)
-            piece = await run.next_piece()
+            piece = await exchange.next_piece()
         return b''.join(parts)
     raise errors.OutcomeUnknown('no whole answer before the deadline')
 
@@ -87,7 +87,7 @@
     return hashing.hash64(request.path, request.body).to_bytes(8, 'big')
 
 
-async def record(
+async def record_outcome(
     claims: Any, token: Any, outcome: errors.Outcome, status: int | None
 ) -> None:
     """Records the outcome of a claim."""
--- a/lavenderbend/coordination/dispatch/attempts.py
+++ b/lavenderbend/coordination/dispatch/attempts.py
@@ -19,7 +19,7 @@
     from collections.abc import Mapping
 
     from lavenderbend.coordination import interfaces
-    from lavenderbend.coordination.dispatch import parts as parts_module
+    from lavenderbend.coordination.dispatch import components as component_types
     from lavenderbend.coordination.dispatch import relay
     from lavenderbend.state import requests
 
@@ -44,12 +44,12 @@
 
     def __init__(
         self,
-        parts: parts_module.Parts,
+        components: component_types.Components,
         request: requests.Request,
         permit: interfaces.Permit,
         span: spans.Hop,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.request = request
         self.permit = permit
         self.record = decisions.Attempt(
@@ -65,10 +65,10 @@
         self.hop.note('upstream', permit.upstream.id)
         self.answer: interfaces.UpstreamAnswer | None = None
         self.body: bodies.Body | None = None
-        self.settled = False
-        report = parts.membership.report(permit.upstream.id)
+        self.finished = False
+        report = components.membership.report(permit.upstream.id)
         self.reported_instance = '' if report is None else report.instance
-        parts.open_attempts[permit.upstream.id] += 1
+        components.open_attempts[permit.upstream.id] += 1
 
     @property
     def instance(self) -> str:
@@ -86,33 +86,37 @@
 
         The caller bounds the time.
         """
-        sent = {**headers, **self.hop.headers}
-        self.answer = await self.parts.upstream_client.open(
+        upstream_headers = {**headers, **self.hop.headers}
+        self.answer = await self.components.upstream_client.open(
             self.permit.upstream,
             self.request,
-            sent,
+            upstream_headers,
             math.inf,
         )
-        self.body = self.choose_body(self.answer, check)
+        self.body = self.body_reader(self.answer, check)
 
-    def choose_body(
+    def body_reader(
         self, answer: interfaces.UpstreamAnswer, check: relay.StreamCheck
     ) -> bodies.Body:
         """Returns the reader that fits the answer."""
-        limits = self.parts.settings.answers
+        limits = self.components.settings.answers
         engine = self.permit.upstream.kind is upstreams.UpstreamKind.ENGINE
         chat = engine and self.request.path == openai.CHAT_PATH
-        whole = 200 <= answer.start.status < 300
-        if chat and whole and self.request.stream:
-            if not bodies.is_stream(answer.start):
+        successful = 200 <= answer.start.status < 300
+        if chat and successful and self.request.stream:
+            if not bodies.is_event_stream(answer.start):
                 raise errors.UpstreamBroke('the answer is no stream')
-            return bodies.StreamBody(answer, limits, check, self.parts.pacer)
-        if chat and whole:
-            name = self.parts.answer_name(self.request.id)
-            return bodies.HeldBody(answer, limits, chat=True, named_by=name)
-        length = bodies.stated_length(answer.start)
-        if length is not None and length <= self.parts.settings.held_bytes:
-            return bodies.HeldBody(answer, limits, chat=False)
+            return bodies.StreamBody(
+                answer, limits, check, self.components.pacer
+            )
+        if chat and successful:
+            name = self.components.expected_answer_id(self.request.id)
+            return bodies.BufferedBody(
+                answer, limits, chat=True, expected_id=name
+            )
+        length = bodies.content_length(answer.start)
+        if length is not None and length <= self.components.settings.held_bytes:
+            return bodies.BufferedBody(answer, limits, chat=False)
         return bodies.Body(answer, limits)
 
     async def next_piece(self) -> bytes | None:
@@ -123,12 +127,12 @@
             self.record.first_byte = trio.current_time() - self.record.started
         return piece
 
-    async def settle(self, result: str, error: Exception | None) -> None:
+    async def finish(self, result: str, error: Exception | None) -> None:
         """Gives the permit back and notes how it went, once."""
-        if self.settled:
+        if self.finished:
             return
-        self.settled = True
-        self.parts.open_attempts[self.permit.upstream.id] -= 1
+        self.finished = True
+        self.components.open_attempts[self.permit.upstream.id] -= 1
         self.record.result = result
         self.record.finished = trio.current_time() - self.record.started
         self.hop.end('' if result == COMPLETE else result)
@@ -136,7 +140,7 @@
         # upstream is not given new work while it still does the old
         if self.answer is not None:
             await self.answer.close()
-        self.parts.admission.release(self.permit, result)
+        self.components.admission.release(self.permit, result)
         # a caller that went away says nothing about the upstream
         if error is not None or result == COMPLETE:
             self.note_result(error)
@@ -145,6 +149,6 @@
         """Tells membership how the upstream did."""
         upstream = self.permit.upstream.id
         if isinstance(error, errors.UpstreamRefused):
-            self.parts.membership.note_draining(upstream)
+            self.components.membership.note_draining(upstream)
             return
-        self.parts.membership.note_result(upstream, error)
+        self.components.membership.note_result(upstream, error)
--- a/lavenderbend/coordination/dispatch/bodies.py
+++ b/lavenderbend/coordination/dispatch/bodies.py
@@ -19,7 +19,7 @@
     from lavenderbend.coordination.dispatch import relay
     from lavenderbend.protocol import http_limits
 
-LENGTH = 'content-length'
+CONTENT_LENGTH = 'content-length'
 
 
 class Body:
@@ -37,16 +37,16 @@
         limits: http_limits.AnswerLimits,
     ) -> None:
         self.iterator: AsyncIterator[bytes] = answer.chunks()
-        self.watched = answer.watches_stalls
+        self.client_detects_stalls = answer.watches_stalls
         self.limits = limits
 
     def receive_next(self) -> Awaitable[bytes | None]:
         """Returns what to await for the next bytes; as `receive`."""
-        if self.watched:
-            return self.receive_watched()
+        if self.client_detects_stalls:
+            return self.receive_without_timeout()
         return self.receive()
 
-    async def receive_watched(self) -> bytes | None:
+    async def receive_without_timeout(self) -> bytes | None:
         """Returns the next bytes of an iterator that itself ends stalls."""
         try:
             return await self.iterator.__anext__()
@@ -60,8 +60,8 @@
             UpstreamStalled: Nothing came in time.
             UpstreamBroke: The answer ended early.
         """
-        if self.watched:
-            return await self.receive_watched()
+        if self.client_detects_stalls:
+            return await self.receive_without_timeout()
         try:
             # without this an upstream that goes silent would hold the
             # caller, the permit and the memory of the exchange for ever
@@ -76,7 +76,7 @@
         return await self.receive()
 
 
-class HeldBody(Body):
+class BufferedBody(Body):
     """A body that is passed on only when it is whole.
 
     Attributes:
@@ -90,21 +90,21 @@
         answer: interfaces.UpstreamAnswer,
         limits: http_limits.AnswerLimits,
         chat: bool,
-        named_by: str = '',
+        expected_id: str = '',
     ) -> None:
         super().__init__(answer, limits)
         self.chat = chat
-        self.named_by = named_by
-        self.given = False
+        self.expected_id = expected_id
+        self.relayed = False
 
     async def next_piece(self) -> bytes | None:
         """Returns the whole body, then None."""
-        if self.given:
+        if self.relayed:
             return None
         body = await self.read_whole()
         if self.chat:
-            openai.check_whole(body, self.named_by)
-        self.given = True
+            openai.check_whole(body, self.expected_id)
+        self.relayed = True
         return body
 
     async def read_whole(self) -> bytes:
@@ -132,19 +132,19 @@
         self,
         answer: interfaces.UpstreamAnswer,
         limits: http_limits.AnswerLimits,
-        check: relay.StreamCheck,
+        stream_check: relay.StreamCheck,
         pacer: pacing.RelayPacer,
     ) -> None:
         super().__init__(answer, limits)
-        self.check = check
+        self.stream_check = stream_check
         self.pacer = pacer
-        self.last = 0.0
+        self.last_piece_at = 0.0
         answer.wait_to_read = self.wait_to_read
 
     async def next_piece(self) -> bytes | None:
         """Returns the next whole events, None after the terminator."""
-        while not self.check.done:
-            self.check.raise_pending()
+        while not self.stream_check.done:
+            self.stream_check.raise_deferred_error()
             data = await self.receive_next()
             if data is None:
                 # the connection ended in good order, but an engine that
@@ -152,18 +152,18 @@
                 raise errors.UpstreamBroke(
                     'the answer ended before its terminator'
                 )
-            self.last = self.pacer.clock()
-            piece = self.check.feed(data)
+            self.last_piece_at = self.pacer.clock()
+            piece = self.stream_check.feed(data)
             if piece:
                 return piece
-        await self.read_end()
+        await self.read_to_end()
         return None
 
     def wait_to_read(self) -> float:
         """Returns how long bytes that have come may wait to be read."""
-        return self.pacer.left(self.last)
+        return self.pacer.pause_seconds(self.last_piece_at)
 
-    async def read_end(self) -> None:
+    async def read_to_end(self) -> None:
         """Reads up to the end so that the connection can be used again."""
         with trio.move_on_after(self.limits.close_seconds):
             try:
@@ -173,13 +173,13 @@
                 return
 
 
-def is_stream(start: interfaces.AnswerStart) -> bool:
+def is_event_stream(start: interfaces.AnswerStart) -> bool:
     """Returns whether an answer is a stream of events."""
     kind = start.headers.get('content-type', '')
     return kind.partition(';')[0].strip().lower() == sse.CONTENT_TYPE
 
 
-def stated_length(start: interfaces.AnswerStart) -> int | None:
+def content_length(start: interfaces.AnswerStart) -> int | None:
     """Returns the length that an answer states, None if it does not."""
-    value = start.headers.get(LENGTH, '')
+    value = start.headers.get(CONTENT_LENGTH, '')
     return int(value) if value.isdigit() and len(value) < 18 else None
--- a/lavenderbend/coordination/dispatch/parts.py
+++ b/lavenderbend/coordination/dispatch/components.py
@@ -95,12 +95,12 @@
     crash_check_seconds: float = 0.5
     retry_after_seconds: float = 1.0
     pacing: pacing.PacingSettings = attrs.field(factory=pacing.PacingSettings)
-    answers_named_by_request: bool = True
+    answer_ids_contain_request_id: bool = True
     require_idempotency_key: bool = True
 
 
 @attrs.frozen
-class Parts:
+class Components:
     """The collaborators of the request path.
 
     Attributes:
@@ -138,12 +138,12 @@
         """Returns the retry budget of a pool, None if there is no bound."""
         if self.retry_budgets is None:
             return None
-        found = self.retry_budgets.get(pool)
-        if found is None:
-            found = retries.RetryBudget(self.settings.retries)
-            self.retry_budgets[pool] = found
-        return found
+        budget = self.retry_budgets.get(pool)
+        if budget is None:
+            budget = retries.RetryBudget(self.settings.retries)
+            self.retry_budgets[pool] = budget
+        return budget
 
-    def answer_name(self, request_id: str) -> str:
+    def expected_answer_id(self, request_id: str) -> str:
         """Returns what the id of a chat answer must hold."""
-        return request_id if self.settings.answers_named_by_request else ''
+        return request_id if self.settings.answer_ids_contain_request_id else ''
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -12,10 +12,10 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination.dispatch import answers
-from lavenderbend.coordination.dispatch import exchange
-from lavenderbend.coordination.dispatch import once
+from lavenderbend.coordination.dispatch import at_most_once
+from lavenderbend.coordination.dispatch import components as component_types
+from lavenderbend.coordination.dispatch import exchange as exchange_module
 from lavenderbend.coordination.dispatch import pacing
-from lavenderbend.coordination.dispatch import parts as parts_module
 from lavenderbend.coordination.dispatch import records
 from lavenderbend.coordination.dispatch import rule_limits
 from lavenderbend.observe import spans
@@ -33,7 +33,7 @@
     from lavenderbend.state import decisions
     from lavenderbend.state import requests
 
-LENGTH = 'content-length'
+CONTENT_LENGTH = 'content-length'
 OK = 200
 
 
@@ -56,25 +56,25 @@
         self,
         name: str,
         configurations: interfaces.Configurations,
-        rules: parts_module.Rules,
+        rules: component_types.Rules,
         admission: interfaces.Admission,
         upstream_client: interfaces.UpstreamClient,
         membership: interfaces.Membership,
         claims: Any | None,
         quarantine: Any | None,
-        limits: parts_module.CustomerLimits | None,
+        limits: component_types.CustomerLimits | None,
         decisions: decisions.DecisionStore,
         retry_budgets: MutableMapping[str, retries.RetryBudget] | None,
         rng: random.Random,
-        settings: parts_module.DispatchSettings | None = None,
+        settings: component_types.DispatchSettings | None = None,
     ) -> None:
         self.name = name
         self.configurations = configurations
         self.rules = rules
         self.claims = claims
         self.limits = limits
-        settings = settings or parts_module.DispatchSettings()
-        self.parts = parts_module.Parts(
+        settings = settings or component_types.DispatchSettings()
+        self.components = component_types.Components(
             admission=admission,
             upstream_client=upstream_client,
             membership=membership,
@@ -100,7 +100,7 @@
         hop = spans.Hop('dispatch', request.headers, trace.SpanKind.INTERNAL)
         hop.note('request.id', request.id)
         finish = functools.partial(self.finish, request, decision, hop)
-        self.parts.decisions.add(decision)
+        self.components.decisions.add(decision)
         self.in_progress += 1
         try:
             return await self.route(request, decision, chat, hop, finish)
@@ -127,18 +127,18 @@
         self.rule_limits.check(rule, request.customer)
         sent = apply_rule(rule, request)
         fingerprint = self.check_quarantine(sent)
-        run = exchange.Exchange(
-            self.parts, sent, rule, decision, fingerprint, chat, hop
+        exchange = exchange_module.Exchange(
+            self.components, sent, rule, decision, fingerprint, chat, hop
         )
         if not rule.then.idempotent:
-            return await self.run_once(run, finish)
+            return await self.run_once(exchange, finish)
         self.note_request(decision.pool)
-        first = await run.begin()
-        start = run.attempt.answer.start
-        length = run.held_length(first)
+        first = await exchange.begin()
+        start = exchange.attempt.answer.start
+        length = exchange.buffered_length(first)
         headers = answer_headers(start, self.name, length)
         return answers.Answer(
-            start.status, headers, decision.id, first, run, finish
+            start.status, headers, decision.id, first, exchange, finish
         )
 
     def find_rule(
@@ -159,47 +159,50 @@
 
     def check_quarantine(self, request: requests.Request) -> int:
         """Returns the fingerprint of a request that may be sent."""
-        quarantine = self.parts.quarantine
+        quarantine = self.components.quarantine
         if quarantine is None:
             return 0
-        fingerprint = fingerprint_of(request)
+        fingerprint = request_fingerprint(request)
         quarantine.check(fingerprint)
         return fingerprint
 
     def note_request(self, pool: str) -> None:
         """Counts the traffic that the retry budget is a share of."""
-        budget = self.parts.budget(pool)
+        budget = self.components.budget(pool)
         if budget is not None:
             budget.note_request()
 
     async def run_once(
-        self, run: exchange.Exchange, finish: Any
+        self, exchange: exchange_module.Exchange, finish: Any
     ) -> answers.Answer:
         """Runs a request that may run at most once."""
-        key = once.check_key(run.request)
+        key = at_most_once.check_key(exchange.request)
         if self.claims is None:
             raise errors.ClaimUnavailable(
-                'no claims log', run.parts.settings.retry_after_seconds
+                'no claims log',
+                exchange.components.settings.retry_after_seconds,
             )
         # a caller that goes away during the claim leaves it committed or not;
         # going on to the outcome answers its next copy in either case
         with trio.CancelScope(shield=True):
             claim = await self.claims.claim(
-                run.request.customer,
+                exchange.request.customer,
                 key,
-                once.digest(run.request),
-                run.deadline,
+                at_most_once.digest(exchange.request),
+                exchange.deadline,
             )
             if isinstance(claim, claims_state.Recorded):
-                return replay(run, claim, finish)
-            body = await self.run_claimed(run, claim.token)
-        start = run.attempt.answer.start
+                return replay_answer(exchange, claim, finish)
+            body = await self.run_claimed(exchange, claim.token)
+        start = exchange.attempt.answer.start
         headers = answer_headers(start, self.name, len(body))
         return answers.Answer(
-            start.status, headers, run.decision.id, body, None, finish
+            start.status, headers, exchange.decision.id, body, None, finish
         )
 
-    async def run_claimed(self, run: exchange.Exchange, token: Any) -> bytes:
+    async def run_claimed(
+        self, exchange: exchange_module.Exchange, token: Any
+    ) -> bytes:
         """Runs a claimed request and records its outcome.
 
         Shielded by its caller: without its outcome, the claim would leave
@@ -207,14 +210,16 @@
         """
         outcome, status = errors.Outcome.UNKNOWN, None
         try:
-            body = await once.run_whole(run)
+            body = await at_most_once.run_to_end(exchange)
             outcome = errors.Outcome.COMPLETE
-            status = run.attempt.answer.start.status
+            status = exchange.attempt.answer.start.status
         except errors.RequestError as exc:
             outcome, status = exc.outcome, exc.status
             raise
         finally:
-            await once.record(self.claims, token, outcome, status)
+            await at_most_once.record_outcome(
+                self.claims, token, outcome, status
+            )
         return body
 
     def finish(
@@ -237,7 +242,7 @@
     return hashing.hash64(request.customer, request.chat_key)
 
 
-def fingerprint_of(request: requests.Request) -> int:
+def request_fingerprint(request: requests.Request) -> int:
     """Returns the hash by which a request is known that crashes upstreams.
 
     A caller sends it again with other spaces, or streamed in place of whole:
@@ -271,28 +276,32 @@
     headers = dict(start.headers)
     # the length is that of the bytes passed on, which a further attempt
     # may make another one
-    headers.pop(LENGTH, None)
+    headers.pop(CONTENT_LENGTH, None)
     if length is not None:
-        headers[LENGTH] = str(length)
+        headers[CONTENT_LENGTH] = str(length)
     headers['x-router'] = router
     return headers
 
 
-def replay(
-    run: exchange.Exchange, recorded: claims_state.Recorded, finish: Any
+def replay_answer(
+    exchange: exchange_module.Exchange,
+    recorded: claims_state.Recorded,
+    finish: Any,
 ) -> answers.Answer:
     """Returns the answer to a further copy of a request that has run.
 
     Raises:
         RequestError: The first copy did not end well.
     """
-    once.replays.inc({})
-    once.check_recorded(recorded)
+    at_most_once.replays.inc({})
+    at_most_once.check_recorded(recorded)
     status = recorded.status or OK
-    body = once.replay_body(recorded.outcome, status)
+    body = at_most_once.replay_body(recorded.outcome, status)
     headers = {
         'content-type': 'application/json',
-        LENGTH: str(len(body)),
-        once.REPLAYED: '1',
+        CONTENT_LENGTH: str(len(body)),
+        at_most_once.REPLAYED: '1',
     }
-    return answers.Answer(status, headers, run.decision.id, body, None, finish)
+    return answers.Answer(
+        status, headers, exchange.decision.id, body, None, finish
+    )
--- a/lavenderbend/coordination/dispatch/exchange.py
+++ b/lavenderbend/coordination/dispatch/exchange.py
@@ -10,13 +10,13 @@
 from lavenderbend.coordination import interfaces
 from lavenderbend.coordination.dispatch import attempts
 from lavenderbend.coordination.dispatch import bodies
+from lavenderbend.coordination.dispatch import recovery
 from lavenderbend.coordination.dispatch import relay
-from lavenderbend.coordination.dispatch import resume
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
 
-    from lavenderbend.coordination.dispatch import parts as parts_module
+    from lavenderbend.coordination.dispatch import components as component_types
     from lavenderbend.observe import spans
     from lavenderbend.state import configuration
     from lavenderbend.state import decisions
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        parts: parts_module.Parts,
+        components: component_types.Components,
         request: requests.Request,
         rule: configuration.Rule,
         decision: decisions.Decision,
@@ -57,7 +57,7 @@
         chat: int,
         span: spans.Hop,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.request = request
         self.rule = rule
         self.decision = decision
@@ -66,13 +66,14 @@
         self.span = span
         self.deadline = request.arrived + rule.then.timeout
         self.check = relay.StreamCheck(
-            parts.settings.answers.event_bytes, parts.answer_name(request.id)
+            components.settings.answers.event_bytes,
+            components.expected_answer_id(request.id),
         )
         self.attempt: attempts.Attempt | None = None
         self.avoid: list[str] = []
-        self.tries = 0
+        self.attempt_count = 0
         self.dispatched = False
-        self.passed_on = False
+        self.answer_begun = False
         self.headers = upstream_headers(rule, chat)
 
     async def acquire(self) -> interfaces.Permit:
@@ -82,7 +83,7 @@
             RequestError: There is none; the outcome is not run only if no
                 earlier attempt was dispatched.
         """
-        ask = interfaces.PermitAsk(
+        permit_request = interfaces.PermitAsk(
             request_id=self.request.id,
             pool=self.decision.pool,
             customer=self.request.customer,
@@ -96,7 +97,7 @@
             suspect=self.suspect(),
         )
         try:
-            return await self.parts.admission.acquire(ask)
+            return await self.components.admission.acquire(permit_request)
         except errors.RequestError as exc:
             # an earlier attempt may have run: "not run" would be untrue,
             # and the caller would do the work a second time
@@ -106,7 +107,7 @@
                 ) from exc
             raise
 
-    def check_again(self, permit: interfaces.Permit) -> None:
+    def recheck_quarantine(self, permit: interfaces.Permit) -> None:
         """Checks the quarantine once more, after the wait for a permit.
 
         Copies of a request that kills engines may wait for permits when it
@@ -116,13 +117,13 @@
             RequestQuarantined: No attempt of the request has been sent.
             OutcomeUnknown: One has.
         """
-        quarantine = self.parts.quarantine
+        quarantine = self.components.quarantine
         if quarantine is None:
             return
         try:
             quarantine.check(self.fingerprint)
         except errors.RequestQuarantined as exc:
-            self.parts.admission.release(permit, type(exc).__name__)
+            self.components.admission.release(permit, type(exc).__name__)
             if self.dispatched:
                 raise errors.OutcomeUnknown(
                     f'an attempt broke off and no other may be made: {exc}'
@@ -131,7 +132,7 @@
 
     def suspect(self) -> bool:
         """Returns whether an upstream died while it ran the request."""
-        quarantine = self.parts.quarantine
+        quarantine = self.components.quarantine
         return quarantine is not None and quarantine.suspect(self.fingerprint)
 
     async def begin(self) -> bytes | None:
@@ -142,64 +143,68 @@
         """
         while True:
             try:
-                piece = await self.try_once({})
+                piece = await self.make_attempt({})
             except errors.UpstreamError as exc:
-                await resume.prepare_retry(self, exc)
+                await recovery.prepare_retry(self, exc)
             else:
-                self.passed_on = True
+                self.answer_begun = True
                 return piece
 
-    async def try_once(self, headers: dict[str, str]) -> bytes | None:
+    async def make_attempt(self, headers: dict[str, str]) -> bytes | None:
         """Makes one attempt and returns its first piece."""
         permit = await self.acquire()
-        self.check_again(permit)
-        self.tries += 1
+        self.recheck_quarantine(permit)
+        self.attempt_count += 1
         self.avoid.append(permit.upstream.id)
-        attempt = attempts.Attempt(self.parts, self.request, permit, self.span)
+        attempt = attempts.Attempt(
+            self.components, self.request, permit, self.span
+        )
         self.attempt = attempt
         self.decision.attempts.append(attempt.record)
-        return await self.guard(attempt, self.open_first(attempt, headers))
+        return await self.run_step(
+            attempt, self.read_first_piece(attempt, headers)
+        )
 
-    async def open_first(
+    async def read_first_piece(
         self, attempt: attempts.Attempt, headers: dict[str, str]
     ) -> bytes | None:
         """Opens an attempt and returns its first piece."""
         with trio.move_on_at(self.deadline):
-            sent = {**self.headers, **headers}
-            await attempt.open(self.check, sent)
-            resume.align(self, attempt)
+            merged_headers = {**self.headers, **headers}
+            await attempt.open(self.check, merged_headers)
+            recovery.prepare_check(self, attempt)
             return await attempt.next_piece()
         raise errors.UpstreamStalled('no answer before the deadline')
 
-    async def guard(
+    async def run_step(
         self, attempt: attempts.Attempt, step: Awaitable[bytes | None]
     ) -> bytes | None:
         """Runs a step of an attempt and settles the attempt if it ends."""
         try:
             piece = await step
         except BaseException as exc:
-            await self.settle_failed(attempt, exc)
+            await self.finish_failed(attempt, exc)
             raise
         if piece is None:
-            await self.settle_whole(attempt)
+            await self.finish_complete(attempt)
         return piece
 
-    async def settle_failed(
+    async def finish_failed(
         self, attempt: attempts.Attempt, error: BaseException
     ) -> None:
         """Settles an attempt that failed or was given up."""
         if isinstance(error, errors.UpstreamError):
-            await attempt.settle(type(error).__name__, error)
+            await attempt.finish(type(error).__name__, error)
         elif isinstance(error, trio.Cancelled):
-            await attempt.settle(attempts.CALLER_GONE, None)
+            await attempt.finish(attempts.CALLER_GONE, None)
         else:
-            await attempt.settle(type(error).__name__, None)
+            await attempt.finish(type(error).__name__, None)
 
-    async def settle_whole(self, attempt: attempts.Attempt) -> None:
+    async def finish_complete(self, attempt: attempts.Attempt) -> None:
         """Settles an attempt whose answer is whole."""
-        await attempt.settle(attempts.COMPLETE, None)
-        if self.parts.quarantine is not None:
-            self.parts.quarantine.survived(self.fingerprint)
+        await attempt.finish(attempts.COMPLETE, None)
+        if self.components.quarantine is not None:
+            self.components.quarantine.survived(self.fingerprint)
 
     async def next_piece(self) -> bytes | None:
         """Returns more of the answer, None when the caller has all of it.
@@ -212,27 +217,27 @@
         try:
             piece = await attempt.body.next_piece()
         except errors.UpstreamError as exc:
-            await self.settle_failed(attempt, exc)
-            return await resume.recover(self, exc)
+            await self.finish_failed(attempt, exc)
+            return await recovery.continue_answer(self, exc)
         except BaseException as exc:
-            await self.settle_failed(attempt, exc)
+            await self.finish_failed(attempt, exc)
             raise
         if piece is None:
-            await self.settle_whole(attempt)
+            await self.finish_complete(attempt)
         return piece
 
-    def held_length(self, first: bytes | None) -> int | None:
+    def buffered_length(self, first: bytes | None) -> int | None:
         """Returns the length of the answer if it was held until whole."""
         if self.request.method == 'HEAD':
             return None
-        if not isinstance(self.attempt.body, bodies.HeldBody):
+        if not isinstance(self.attempt.body, bodies.BufferedBody):
             return None
         return len(first or b'')
 
-    async def give_up(self) -> None:
+    async def abandon(self) -> None:
         """Ends the current attempt because its caller is gone."""
         if self.attempt is not None:
-            await self.attempt.settle(attempts.CALLER_GONE, None)
+            await self.attempt.finish(attempts.CALLER_GONE, None)
 
 
 def upstream_headers(rule: configuration.Rule, chat: int) -> dict[str, str]:
--- a/lavenderbend/coordination/dispatch/pacing.py
+++ b/lavenderbend/coordination/dispatch/pacing.py
@@ -14,7 +14,7 @@
     import random
 
 # share by which an interval is shorter or longer
-SPREAD = 0.5
+JITTER_FRACTION = 0.5
 
 interval_gauge = metrics.gauge(
     'lavenderbend_relay_interval_seconds',
@@ -66,17 +66,17 @@
         rng: random.Random,
         settings: PacingSettings | None = None,
         clock: Callable[[], float] = time.perf_counter,
-        usage: Callable[[], float] = time.process_time,
+        cpu_clock: Callable[[], float] = time.process_time,
     ) -> None:
         self.rng = rng
         self.settings = settings or PacingSettings()
         self.clock = clock
-        self.usage = usage
+        self.cpu_clock = cpu_clock
         self.interval = 0.0
         self.sampled_at = clock()
-        self.used = usage()
+        self.cpu_seconds = cpu_clock()
 
-    def left(self, last: float) -> float:
+    def pause_seconds(self, last: float) -> float:
         """Returns how long a stream with bytes to pass on should wait.
 
         Args:
@@ -84,28 +84,28 @@
         """
         now = self.clock()
         if now - self.sampled_at >= self.settings.sample_seconds:
-            self.sample(now)
+            self.update_interval(now)
         if not self.interval:
             return 0.0
         # streams that once passed on a piece together would do so for ever,
         # and an instant call would wait behind all of them at once
-        spread = 1.0 + SPREAD * (2.0 * self.rng.random() - 1.0)
-        return last + self.interval * spread - now
+        jitter = 1.0 + JITTER_FRACTION * (2.0 * self.rng.random() - 1.0)
+        return last + self.interval * jitter - now
 
-    def sample(self, now: float) -> None:
+    def update_interval(self, now: float) -> None:
         """Adapts the interval to the share of the core in use."""
-        used = self.usage()
-        share = (used - self.used) / (now - self.sampled_at)
+        cpu_seconds = self.cpu_clock()
+        share = (cpu_seconds - self.cpu_seconds) / (now - self.sampled_at)
         self.sampled_at = now
-        self.used = used
+        self.cpu_seconds = cpu_seconds
         settings = self.settings
         if not settings.enabled:
             return
         if share > settings.high:
-            grown = self.interval * 1.5 + settings.step_seconds
-            self.interval = min(grown, settings.max_seconds)
+            longer = self.interval * 1.5 + settings.step_seconds
+            self.interval = min(longer, settings.max_seconds)
         elif share < settings.low and self.interval:
-            shrunk = self.interval * 0.8
+            shorter = self.interval * 0.8
             floor = settings.step_seconds / 2
-            self.interval = shrunk if shrunk > floor else 0.0
+            self.interval = shorter if shorter > floor else 0.0
         interval_gauge.set({}, self.interval)
--- a/lavenderbend/coordination/dispatch/relay.py
+++ b/lavenderbend/coordination/dispatch/relay.py
@@ -35,23 +35,23 @@
         pending: An error that came after events that were passed on.
     """
 
-    def __init__(self, max_bytes: int, named_by: str = '') -> None:
+    def __init__(self, max_bytes: int, expected_id: str = '') -> None:
         self.max_bytes = max_bytes
-        self.named_by = named_by
+        self.expected_id = expected_id
         self.parser = sse.Parser(max_bytes)
         self.answer_id: str | None = None
         self.source_id: str | None = None
         self.next_offset = 0
         self.events = 0
-        self.length = 0
+        self.text_length = 0
         self.digest = xxhash.xxh3_128()
         self.comparable = True
         self.finished = False
         self.done = False
-        self.rerun = False
-        self.skipped = 0
-        self.skipped_digest = xxhash.xxh3_128()
-        self.pending: errors.UpstreamError | None = None
+        self.restarted = False
+        self.compared_length = 0
+        self.compared_digest = xxhash.xxh3_128()
+        self.deferred_error: errors.UpstreamError | None = None
 
     @property
     def numbered(self) -> bool:
@@ -67,9 +67,9 @@
         self.parser = sse.Parser(self.max_bytes)
         self.source_id = None
         self.next_offset = 0
-        self.rerun = self.events > 0
-        self.skipped = 0
-        self.skipped_digest = xxhash.xxh3_128()
+        self.restarted = self.events > 0
+        self.compared_length = 0
+        self.compared_digest = xxhash.xxh3_128()
 
     def feed(self, data: bytes) -> bytes:
         """Returns the bytes to pass on after these bytes have come.
@@ -86,7 +86,7 @@
             # must reach the caller before the error is dealt with
             if not any(out):
                 raise
-            self.pending = exc
+            self.deferred_error = exc
         return out[0] if len(out) == 1 else b''.join(out)
 
     def read_events(self, data: bytes, out: list[bytes]) -> None:
@@ -99,17 +99,17 @@
                 out.append(block)
                 # what follows the terminator is no part of the answer
                 return
-            out.append(self.accept(event))
+            out.append(self.process_event(event))
         self.parser.check_size()
 
-    def raise_pending(self) -> None:
+    def raise_deferred_error(self) -> None:
         """Raises the error that was held back by `feed`, if any."""
-        pending = self.pending
-        if pending is not None:
-            self.pending = None
-            raise pending
+        deferred_error = self.deferred_error
+        if deferred_error is not None:
+            self.deferred_error = None
+            raise deferred_error
 
-    def accept(self, event: sse.Event) -> bytes:
+    def process_event(self, event: sse.Event) -> bytes:
         """Returns the bytes of one event to pass on, which may be none."""
         if not event.data:
             return b''
@@ -117,17 +117,17 @@
             raise errors.UpstreamBroke('the upstream broke off its answer')
         chunk = openai.read_chunk(event.data)
         self.check_id(chunk.id)
-        if event.offset is not None and not self.in_order(event.offset):
+        if event.offset is not None and not self.is_next_event(event.offset):
             return b''
-        if self.rerun:
+        if self.restarted:
             return self.compare(event, chunk)
-        return self.pass_on(event.raw, chunk)
+        return self.relay_event(event.raw, chunk)
 
-    def pass_on(self, raw: bytes, chunk: openai.Chunk) -> bytes:
+    def relay_event(self, raw: bytes, chunk: openai.Chunk) -> bytes:
         """Remembers an event that goes to the caller."""
         self.events += 1
         if chunk.text:
-            self.length += len(chunk.text)
+            self.text_length += len(chunk.text)
             self.digest.update(chunk.text.encode())
         if not chunk.plain:
             self.comparable = False
@@ -140,7 +140,7 @@
         if self.source_id is None:
             # the head carried the right id, but an upstream that mixes up
             # its streams may begin with somebody else's first event
-            if self.named_by not in source_id:
+            if self.expected_id not in source_id:
                 raise errors.AnswerMismatch('an event of another request')
             self.source_id = source_id
             if self.answer_id is None:
@@ -150,7 +150,7 @@
         if source_id != self.source_id:
             raise errors.AnswerMismatch('an event belongs to another answer')
 
-    def in_order(self, offset: int) -> bool:
+    def is_next_event(self, offset: int) -> bool:
         """Returns whether the numbered event is new.
 
         Raises:
@@ -165,39 +165,39 @@
 
     def compare(self, event: sse.Event, chunk: openai.Chunk) -> bytes:
         """Returns what a further attempt adds to what the caller has."""
-        missing = self.length - self.skipped
+        missing = self.text_length - self.compared_length
         text = chunk.text[:missing]
-        self.skipped += len(text)
-        self.skipped_digest.update(text.encode())
-        if self.skipped == self.length:
-            self.check_same()
+        self.compared_length += len(text)
+        self.compared_digest.update(text.encode())
+        if self.compared_length == self.text_length:
+            self.check_equal_text()
         extra = len(chunk.text) - len(text)
         if extra == 0 and not (chunk.final and not self.finished):
             return b''
         data = openai.continue_chunk(event.data, self.answer_id, len(text))
-        rest = openai.Chunk(
+        remainder = openai.Chunk(
             chunk.id, chunk.text[len(text) :], chunk.plain, chunk.final
         )
-        return self.pass_rest(sse.encode(data), rest)
+        return self.relay_remainder(sse.encode(data), remainder)
 
-    def pass_rest(self, raw: bytes, chunk: openai.Chunk) -> bytes:
+    def relay_remainder(self, raw: bytes, chunk: openai.Chunk) -> bytes:
         """Passes on an event of a further attempt."""
-        self.skipped += len(chunk.text)
-        self.skipped_digest.update(chunk.text.encode())
-        return self.pass_on(raw, chunk)
+        self.compared_length += len(chunk.text)
+        self.compared_digest.update(chunk.text.encode())
+        return self.relay_event(raw, chunk)
 
-    def check_same(self) -> None:
+    def check_equal_text(self) -> None:
         """Checks that both attempts say the same so far.
 
         Raises:
             AnswerContradicts: They do not.
         """
-        if self.skipped_digest.digest() != self.digest.digest():
+        if self.compared_digest.digest() != self.digest.digest():
             raise errors.AnswerContradicts(
                 'a further attempt answers something else'
             )
 
     def check_end(self) -> None:
         """Checks at the terminator that the caller's text was reached."""
-        if self.rerun and self.skipped < self.length:
+        if self.restarted and self.compared_length < self.text_length:
             raise errors.AnswerContradicts('a further attempt is shorter')
--- a/lavenderbend/coordination/dispatch/rule_limits.py
+++ b/lavenderbend/coordination/dispatch/rule_limits.py
@@ -35,7 +35,7 @@
     """
 
     tokens: float
-    at: float
+    refilled_at: float
 
 
 class RuleLimits:
@@ -68,9 +68,9 @@
         capacity = max(1.0, rate * BURST_SECONDS)
         bucket = self.bucket((rule.name, customer), capacity)
         now = trio.current_time()
-        earned = (now - bucket.at) * rate
+        earned = (now - bucket.refilled_at) * rate
         bucket.tokens = min(capacity, bucket.tokens + earned)
-        bucket.at = now
+        bucket.refilled_at = now
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return
@@ -82,11 +82,11 @@
 
     def bucket(self, key: tuple[str, str], capacity: float) -> Bucket:
         """Returns the bucket of a rule and customer."""
-        found = self.buckets.get(key)
-        if found is None:
-            found = Bucket(capacity, trio.current_time())
-            self.buckets[key] = found
+        bucket = self.buckets.get(key)
+        if bucket is None:
+            bucket = Bucket(capacity, trio.current_time())
+            self.buckets[key] = bucket
             while len(self.buckets) > MAX_BUCKETS:
                 self.buckets.popitem(last=False)
         self.buckets.move_to_end(key)
-        return found
+        return bucket
--- a/lavenderbend/coordination/leases.py
+++ b/lavenderbend/coordination/leases.py
@@ -17,7 +17,7 @@
 
 DEFAULT_SECONDS = 60.0
 DEFAULT_MARGIN_SECONDS = 2.0
-RENEWALS = 3
+RENEWALS_PER_TERM = 3
 RETRY_SECONDS = 1.0
 ID_BYTES = 8
 
@@ -55,15 +55,15 @@
         self.rng = rng
         self.seconds = seconds
         self.margin = margin
-        self.id = 0
+        self.lease_id = 0
         self.fencing = 0
-        self.until = 0.0
+        self.held_until = 0.0
 
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Returns the seconds for which the lease is surely held."""
         if not self.fencing:
             return 0.0
-        return max(0.0, self.until - trio.current_time())
+        return max(0.0, self.held_until - trio.current_time())
 
     def check(self, seconds: float = 0.0) -> None:
         """Makes sure that the lease is held for so long.
@@ -71,24 +71,24 @@
         Raises:
             LeaseLost: It is not.
         """
-        if self.left() <= seconds:
+        if self.seconds_left() <= seconds:
             raise errors.LeaseLost(f'{self.key}: {self.left():.1f} s left')
 
     async def acquire(self) -> None:
         """Waits until the lease is held."""
         while True:
             try:
-                if await self.attempt():
+                if await self.try_acquire():
                     logs.change(
                         'lease_acquired', key=self.key, fencing=self.fencing
                     )
                     return
             except errors.KeyValueError:
                 await trio.sleep(self.rng.uniform(0, RETRY_SECONDS))
-            pause = self.seconds / RENEWALS
+            pause = self.seconds / RENEWALS_PER_TERM
             await trio.sleep(self.rng.uniform(pause / 2, pause))
 
-    async def attempt(self) -> bool:
+    async def try_acquire(self) -> bool:
         """Tries once to get the lease; returns whether it is held."""
         if (await self.store.read(self.key)).items:
             return False
@@ -100,43 +100,45 @@
         except errors.KeyValueUncertain:
             # it may be held after all: the read below tells
             pass
-        found = await self.store.read(self.key)
-        if not found.items or found.items[0].value != value:
+        stored = await self.store.read(self.key)
+        if not stored.items or stored.items[0].value != value:
             await self.store.revoke_lease(lease)
             return False
-        self.id = lease
+        self.lease_id = lease
         # store revisions only grow, so a later holder's is larger
-        self.fencing = found.items[0].create_revision
-        self.until = began + self.seconds - self.margin
-        return self.left() > 0
+        self.fencing = stored.items[0].create_revision
+        self.held_until = began + self.seconds - self.margin
+        return self.seconds_left() > 0
 
-    async def keep(self) -> None:
+    async def renew_until_lost(self) -> None:
         """Renews the lease; returns when it is lost."""
-        while self.left() > 0:
-            pause = min(self.seconds / RENEWALS, self.left())
+        while self.seconds_left() > 0:
+            pause = min(self.seconds / RENEWALS_PER_TERM, self.seconds_left())
             await trio.sleep(self.rng.uniform(pause / 2, pause))
             began = trio.current_time()
             try:
-                with trio.move_on_at(self.until):
-                    left = await self.store.renew_lease(self.id)
-                    if left <= 0:
+                with trio.move_on_at(self.held_until):
+                    seconds_left = await self.store.renew_lease(self.lease_id)
+                    if seconds_left <= 0:
                         break
-                    self.until = began + min(left, self.seconds) - self.margin
+                    self.held_until = (
+                        began + min(seconds_left, self.seconds) - self.margin
+                    )
             except errors.KeyValueError:
                 await trio.sleep(self.rng.uniform(0, RETRY_SECONDS))
-        self.lose()
+        self.note_lost()
 
-    def lose(self) -> None:
+    def note_lost(self) -> None:
         """Stops believing that the lease is held."""
         if self.fencing:
             logs.change('lease_lost', key=self.key, fencing=self.fencing)
         self.fencing = 0
-        self.until = 0.0
+        self.held_until = 0.0
 
     async def release(self) -> None:
         """Gives the lease up, so that another router need not wait."""
-        lease, self.id = self.id, 0
-        self.lose()
+        lease, self.lease_id = self.lease_id, 0
+        self.note_lost()
         try:
             await self.store.revoke_lease(lease)
         except errors.KeyValueError:
--- a/lavenderbend/coordination/orders/calls.py
+++ b/lavenderbend/coordination/orders/calls.py
@@ -93,7 +93,7 @@
         except errors.OrderRefused:
             result = OrderResult.REFUSED
             # somebody holds a newer lease, whatever the clock says
-            self.lease.lose()
+            self.lease.note_lost()
         except errors.OrderError:
             result = OrderResult.FAILED
         except errors.UpstreamError:
--- a/lavenderbend/coordination/orders/pools.py
+++ b/lavenderbend/coordination/orders/pools.py
@@ -81,7 +81,7 @@
 
     async def hold(self, scope: trio.CancelScope) -> None:
         """Keeps the lease; its loss ends everything done under it."""
-        await self.lease.keep()
+        await self.lease.renew_until_lost()
         scope.cancel()
 
     async def order(self, nursery: trio.Nursery) -> None:
--- a/lavenderbend/daemon/adapters.py
+++ b/lavenderbend/daemon/adapters.py
@@ -9,7 +9,7 @@
 from lavenderbend.coordination import membership as membership_module
 from lavenderbend.coordination import retries
 from lavenderbend.coordination.claims import claims as claims_module
-from lavenderbend.coordination.claims import waiting as claim_waiting
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.coordination.orders import orders as orders_module
 from lavenderbend.protocol import http_limits
 from lavenderbend.state import settings as settings_module
@@ -104,7 +104,9 @@
     return claims_module.ClaimPolicy(
         shards=settings.shards,
         retention=settings.retention_seconds,
-        shard=claim_waiting.ShardPolicy(gap=settings.write_gap_seconds),
+        shard=commit_queue.ShardPolicy(
+            batch_interval=settings.write_gap_seconds
+        ),
     )
 
 
@@ -145,6 +147,6 @@
         held_bytes=answers.held_bytes,
         retries=retries.RetrySettings(share=attempts.retry_share / PERCENT),
         retry_after_seconds=attempts.retry_after_seconds,
-        answers_named_by_request=answers.named_by_request,
+        answer_ids_contain_request_id=answers.named_by_request,
         require_idempotency_key=attempts.require_idempotency_key,
     )
--- a/tests/test_coordination/test_agreed_bounds.py
+++ b/tests/test_coordination/test_agreed_bounds.py
@@ -13,7 +13,7 @@
 from bench.agreed import outage_spread
 from bench.agreed import spread
 from lavenderbend.coordination import log
-from lavenderbend.coordination.claims import inquiries as claim_inquiries
+from lavenderbend.coordination.claims import requester as claim_requester
 from lavenderbend.coordination.claims import shards as claim_shards
 from lavenderbend.coordination.configuration import chain as configuration_chain
 from lavenderbend.coordination.configuration import (
@@ -34,34 +34,34 @@
     check(measures.of_at_most_once(result))
 
 
-class TrustingShard(claim_shards.Shard):
+class UnconfirmedShard(claim_shards.Shard):
     """Takes its ownership for exclusive: answers before the log does."""
 
-    async def settled(self, number, value):
+    async def append_confirmed(self, number, value):
         return log.Entry(number, value)
 
 
 def test_at_most_once_check_finds_owners_that_trust_themselves(monkeypatch):
-    monkeypatch.setattr(claim_shards, 'Shard', TrustingShard)
+    monkeypatch.setattr(claim_shards, 'Shard', UnconfirmedShard)
     result = at_most_once.run(1500, seed=5, rate=15.0)
     assert result.ran_twice > 0
 
 
-class ImpatientInquirer(claim_inquiries.Inquirer):
+class ImpatientRequester(claim_requester.ClaimRequester):
     """Takes any trouble for a service that is down."""
 
-    async def ask(self, inquiry):
-        answer = await super().ask(inquiry)
+    async def query_owner(self, claim_request):
+        answer = await super().query_owner(claim_request)
         if answer.state == 'undecided':
-            raise self.unavailable('trouble')
+            raise self.unavailable_error('trouble')
         return answer
 
-    async def look_around(self, inquiry):
+    async def query_former_owners(self, claim_request):
         return None
 
 
 def test_at_most_once_check_finds_innocents_refused(monkeypatch):
-    monkeypatch.setattr(claim_inquiries, 'Inquirer', ImpatientInquirer)
+    monkeypatch.setattr(claim_requester, 'ClaimRequester', ImpatientRequester)
     result = at_most_once.run(1500, seed=5, rate=15.0)
     assert result.innocent_refused > 0
 
--- a/tests/test_coordination/test_agreed_call_budget.py
+++ b/tests/test_coordination/test_agreed_call_budget.py
@@ -67,7 +67,7 @@
 
 async def test_call_over_the_budget_was_not_made(autojump_clock):
     store = fakes.service()
-    budget = call_budget.CallBudget(writes_per_second=0.5, patience=0.5)
+    budget = call_budget.CallBudget(writes_per_second=0.5, max_wait_seconds=0.5)
     writes = call_budget.BudgetedStore(
         store, budget, call_budget.CallPriority.CLAIMS
     )
--- a/tests/test_coordination/test_agreed_claims.py
+++ b/tests/test_coordination/test_agreed_claims.py
@@ -129,7 +129,7 @@
     first = await one.claim('ana', 'k', BODY, soon())
     await two.record(first.token, errors.Outcome.NOT_RUN)
     # the release goes through another owner, unseen by the first
-    two.outcomes.tries[0] = 1
+    two.outcomes.failed_requests[0] = 1
     await two.drain()
     second = await one.claim('ana', 'k', b'another', soon())
     assert isinstance(second, claims.Claimed)
@@ -298,7 +298,7 @@
     await one.drain()
     owner = fleet.routers[fleet.owner()]
     line = claims.ClaimLine(hashed, token.id, b'12345678', one.name)
-    state = await owner.shard(0).claim(line, soon(2))
+    state = await owner.ensure_shard(0).claim(line, soon(2))
     assert state is claims.ClaimState.UNAVAILABLE
     got = await two.claim('ana', 'k', BODY, soon())
     assert isinstance(got, claims.Claimed)
--- a/tests/test_coordination/test_agreed_leases.py
+++ b/tests/test_coordination/test_agreed_leases.py
@@ -27,7 +27,7 @@
     held = lease(store, 'a')
     await held.acquire()
     granted = next(iter(store.leases.values())).expires
-    assert held.until < granted - 1.9
+    assert held.held_until < granted - 1.9
     held.check(20.0)
     with pytest.raises(errors.LeaseLost):
         held.check(29.0)
@@ -42,7 +42,7 @@
         await held.acquire()
         numbers.append(held.fencing)
         await held.release()
-        assert held.left() == 0
+        assert held.seconds_left() == 0
     assert numbers == sorted(set(numbers))
 
 
@@ -52,20 +52,20 @@
     """The service lets the lease lapse while its holder still renews."""
     held = lease(store, 'a')
     await held.acquire()
-    store.lapse(held.id)
+    store.lapse(held.lease_id)
     with trio.fail_after(30):
-        await held.keep()
+        await held.renew_until_lost()
     assert held.fencing == 0
 
 
 async def test_outage_ends_the_belief_before_the_lease(store, autojump_clock):
     held = lease(store, 'a')
     await held.acquire()
-    until = held.until
+    held_until = held.held_until
     store.fault(outage=True)
-    await held.keep()
-    assert trio.current_time() <= until + 1.0
-    assert held.left() == 0
+    await held.renew_until_lost()
+    assert trio.current_time() <= held_until + 1.0
+    assert held.seconds_left() == 0
 
 
 async def test_two_never_believe_at_once(store, nursery, autojump_clock):
@@ -77,13 +77,13 @@
     held = [lease(store, name) for name in 'abc']
     seen = set()
 
-    async def cycle(one):
+    async def cycle(holder):
         while True:
-            await one.acquire()
-            seen.add(one.name)
+            await holder.acquire()
+            seen.add(holder.name)
             with trio.move_on_after(100):
-                await one.keep()
-            await one.release()
+                await holder.renew_until_lost()
+            await holder.release()
 
     async def trouble():
         while True:
@@ -92,11 +92,11 @@
             await trio.sleep(40)
             store.fault(outage=False)
 
-    for one in held:
-        nursery.start_soon(cycle, one)
+    for holder in held:
+        nursery.start_soon(cycle, holder)
     nursery.start_soon(trouble)
     for _ in range(20_000):
         await trio.sleep(0.1)
-        assert sum(one.left() > 0 for one in held) <= 1
+        assert sum(holder.seconds_left() > 0 for holder in held) <= 1
     assert seen == set('abc')
     nursery.cancel_scope.cancel()
--- a/tests/test_coordination/test_agreed_stateful.py
+++ b/tests/test_coordination/test_agreed_stateful.py
@@ -184,15 +184,15 @@
     fleets.virtual(1, functools.partial(ClaimStory(make).play, steps))
 
 
-class TrustingShard(claim_shards.Shard):
+class UnconfirmedShard(claim_shards.Shard):
     """Takes its ownership for exclusive: answers before the log does."""
 
-    async def settled(self, number, value):
+    async def append_confirmed(self, number, value):
         return log.Entry(number, value)
 
 
 def test_stories_find_owners_that_trust_themselves(monkeypatch):
-    monkeypatch.setattr(claim_shards, 'Shard', TrustingShard)
+    monkeypatch.setattr(claim_shards, 'Shard', UnconfirmedShard)
     story = [('claim', index, 0) for index in range(ROUTERS)]
     story += [('kill', index) for index in range(ROUTERS)]
     story += [('claim', index, 0) for index in range(ROUTERS)]
--- a/tests/test_coordination/test_dispatch_pacing.py
+++ b/tests/test_coordination/test_dispatch_pacing.py
@@ -12,13 +12,13 @@
 
     def __init__(self):
         self.now = 100.0
-        self.used = 0.0
+        self.cpu_seconds = 0.0
 
     def run(self, pacer, share, seconds=1.0):
         for _ in range(int(seconds * 10)):
             self.now += 0.11
-            self.used += 0.11 * share
-            pacer.left(0.0)
+            self.cpu_seconds += 0.11 * share
+            pacer.pause_seconds(0.0)
 
 
 def make(**fields):
@@ -28,7 +28,7 @@
         random.Random(1),
         settings,
         lambda: machine.now,
-        lambda: machine.used,
+        lambda: machine.cpu_seconds,
     )
     return machine, pacer
 
@@ -46,7 +46,7 @@
     machine.run(pacer, 0.9)
     machine.run(pacer, 0.1, seconds=3.0)
     assert pacer.interval == 0.0
-    assert pacer.left(machine.now) == 0.0
+    assert pacer.pause_seconds(machine.now) == 0.0
 
 
 def test_interval_holds_between_the_bounds():
@@ -61,15 +61,15 @@
     # token on at once.
     machine, pacer = make()
     machine.run(pacer, 0.9)
-    assert pacer.left(machine.now - 0.1) <= 0.0
+    assert pacer.pause_seconds(machine.now - 0.1) <= 0.0
 
 
 def test_waits_of_streams_differ():
     # Streams that wait equally long would go on in step, all at once.
     machine, pacer = make()
     machine.run(pacer, 0.9)
-    waits = {pacer.left(machine.now) for _ in range(20)}
-    longest = pacer.settings.max_seconds * (1 + pacing.SPREAD)
+    waits = {pacer.pause_seconds(machine.now) for _ in range(20)}
+    longest = pacer.settings.max_seconds * (1 + pacing.JITTER_FRACTION)
     assert len(waits) > 10
     assert max(waits) <= longest
 
--- a/tests/test_coordination/test_dispatch_relay.py
+++ b/tests/test_coordination/test_dispatch_relay.py
@@ -39,11 +39,11 @@
 def read(data):
     """Returns text, ids, finish reasons and whether it is terminated."""
     texts, ids, reasons, done = [], set(), 0, False
-    for item in sse.Parser(10_000).feed(data):
-        if item.done:
+    for block in sse.Parser(10_000).feed(data):
+        if block.done:
             done = True
             continue
-        chunk = openai.read_chunk(item.data)
+        chunk = openai.read_chunk(block.data)
         texts.append(chunk.text)
         ids.add(chunk.id)
         reasons += chunk.final
@@ -68,9 +68,9 @@
     check = relay.StreamCheck(10_000, 'r1')
     events = stream(TEXT, first)
     cut = min(cut, len(events) - 1)
-    out = b''.join(check.feed(item) for item in events[:cut])
+    out = b''.join(check.feed(block) for block in events[:cut])
     check.continue_from_start()
-    out += b''.join(check.feed(item) for item in stream(TEXT, second, 'b-r1'))
+    out += b''.join(check.feed(block) for block in stream(TEXT, second, 'b-r1'))
     text, ids, reasons, done = read(out)
     assert text == TEXT
     assert reasons == 1
@@ -85,13 +85,13 @@
     # beginning would be a plan that nobody made.
     check = relay.StreamCheck(10_000, 'r1')
     events = stream(TEXT, first)
-    out = b''.join(check.feed(item) for item in events[:cut])
+    out = b''.join(check.feed(block) for block in events[:cut])
     passed = read(out)[0]
     check.continue_from_start()
     other = 'X' + TEXT[1:]
     with pytest.raises(errors.AnswerContradicts):
-        for item in stream(other, second):
-            out += check.feed(item)
+        for block in stream(other, second):
+            out += check.feed(block)
     assert read(out)[0] == passed
 
 
@@ -100,8 +100,8 @@
     check.feed(event(TEXT))
     check.continue_from_start()
     with pytest.raises(errors.AnswerContradicts):
-        for item in stream(TEXT[:10], [3]):
-            check.feed(item)
+        for block in stream(TEXT[:10], [3]):
+            check.feed(block)
 
 
 def test_tool_calls_cannot_be_compared():
@@ -124,8 +124,8 @@
     )
     out = b''
     try:
-        for item in order:
-            out += check.feed(item)
+        for block in order:
+            out += check.feed(block)
     except errors.UpstreamBroke:
         pass
     text = read(out)[0]
@@ -139,8 +139,8 @@
     out = check.feed(event('la ') + b'data: noise\n\n')
     assert read(out)[0] == 'la '
     with pytest.raises(errors.UpstreamBroke):
-        check.raise_pending()
-    check.raise_pending()
+        check.raise_deferred_error()
+    check.raise_deferred_error()
 
 
 def test_bytes_after_the_terminator_are_no_part_of_the_answer():
@@ -156,6 +156,6 @@
     check = relay.StreamCheck(100)
     try:
         check.feed(data)
-        check.raise_pending()
+        check.raise_deferred_error()
     except errors.UpstreamError:
         return
--- a/tests/test_coordination/test_placement_cache_transfer.py
+++ b/tests/test_coordination/test_placement_cache_transfer.py
@@ -31,12 +31,12 @@
     context = cache_transfer.Context(1, 4000, 1.0)
     slow = cache_transfer.TransferSettings(bytes_per_second=1.25e9)
 
-    assert cache_transfer.pays(context, FAST)
-    assert not cache_transfer.pays(context, slow)
+    assert cache_transfer.is_worthwhile(context, FAST)
+    assert not cache_transfer.is_worthwhile(context, slow)
 
 
 def test_chat_that_will_hardly_return_is_left_behind():
-    assert not cache_transfer.pays(
+    assert not cache_transfer.is_worthwhile(
         cache_transfer.Context(1, 4000, 3600.0), FAST
     )
 
@@ -46,7 +46,7 @@
         cache_transfer.Context(chat, 100_000, 1.0) for chat in range(20)
     ]
 
-    moves = cache_transfer.plan(contexts, {'a': 1, 'b': 1}, FAST)
+    moves = cache_transfer.plan_moves(contexts, {'a': 1, 'b': 1}, FAST)
 
     assert sum(move.seconds for move in moves) <= FAST.seconds
     assert {move.target for move in moves} == {'a', 'b'}
@@ -58,11 +58,11 @@
     # the connection timeout of each
     client = Client(errors.UpstreamUnreachable('gone'))
     contexts = [cache_transfer.Context(chat, 1000, 1.0) for chat in range(50)]
-    moves = cache_transfer.plan(contexts, {'a': 1}, FAST)
+    moves = cache_transfer.plan_moves(contexts, {'a': 1}, FAST)
 
     done = [
         move
-        async for move in cache_transfer.carry_out(client, 'x', moves, 10.0)
+        async for move in cache_transfer.execute_moves(client, 'x', moves, 10.0)
     ]
 
     assert done == []
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -69,7 +69,7 @@
     assert one.admission.settings.chats == 700
     policy = one.claims.policy
     assert (policy.shards, policy.retention) == (8, 7200.0)
-    assert policy.shard.gap == 0.02
+    assert policy.shard.batch_interval == 0.02
     assert one.orders.policy == orders.OrderPolicy(
         interval=3.0,
         loads_at_once=5,
@@ -79,14 +79,14 @@
         bake_seconds=8.0,
         engine_read_seconds=9.0,
     )
-    path = one.dispatcher.parts.settings
+    path = one.dispatcher.components.settings
     assert path.answers == one.upstream_client.limits
     assert path.answers == http_limits.AnswerLimits(
         event_bytes=2048, whole_bytes=3 * 1024 * 1024, stall_seconds=5.0
     )
     assert (path.held_bytes, path.retry_after_seconds) == (4096, 6.0)
     assert path.retries.share == 0.2
-    assert not path.answers_named_by_request
+    assert not path.answer_ids_contain_request_id
     assert not path.require_idempotency_key
 
 
