--- a/lavenderbend/coordination/cache_transfer.py
+++ b/lavenderbend/coordination/cache_transfer.py
@@ -1,4 +1,4 @@
-"""Moves chat contexts off engines that are leaving, where it pays."""
+"""Moves the KV cache of chats off leaving engines if that saves time."""
 
 from __future__ import annotations
 
@@ -27,37 +27,37 @@
 
 
 class CacheClient(abc.ABC):
-    """Exports and imports KV cache of engines."""
+    """Exports and imports the KV cache of engines."""
 
     @abc.abstractmethod
     async def export_chat(self, upstream: str, chat: int) -> bytes:
-        """Returns the cache of a chat.
+        """Returns the KV cache of a chat.
 
         Raises:
             UpstreamUnreachable: The engine does not answer.
-            UpstreamError: It has none.
+            UpstreamError: The engine has no cache of the chat.
         """
 
     @abc.abstractmethod
     async def import_chat(self, upstream: str, chat: int, data: bytes) -> None:
-        """Gives an engine the cache of a chat.
+        """Imports the KV cache of a chat into an engine.
 
         Raises:
-            UpstreamError: The engine did not take it.
+            UpstreamError: The engine did not accept it.
         """
 
 
 @attrs.frozen
 class TransferSettings:
-    """What the cost rule reckons with.
+    """Parameters of the cost rule.
 
     Attributes:
-        bytes_per_token: Size of the cache of one token.
-        bytes_per_second: What the link of the leaving engine carries.
-        tokens_per_second: Prompt tokens a second that an engine computes.
-        return_seconds: Mean time after which a chat returns.
-        margin: How many times the time of moving must be saved.
-        seconds: Time that a leaving engine has for it.
+        bytes_per_token: Size of the KV cache of one token.
+        bytes_per_second: Bandwidth of the leaving engine's link.
+        tokens_per_second: Prompt tokens per second that an engine processes.
+        return_seconds: Mean time until the next turn of a chat.
+        margin: Minimum ratio of the time saved to the time of the transfer.
+        seconds: Time available for the transfers of a leaving engine.
     """
 
     bytes_per_token: float = 131_072.0
@@ -70,11 +70,11 @@
 
 @attrs.frozen
 class Context:
-    """A chat's context on the leaving engine.
+    """The context of a chat on the leaving engine.
 
     Attributes:
         chat: Hash of the chat.
-        tokens: Its size.
+        tokens: Size of the context.
         idle: Seconds since the chat's last turn.
     """
 
@@ -85,12 +85,12 @@
 
 @attrs.frozen
 class Move:
-    """A context and where it goes.
+    """A planned transfer of a context.
 
     Attributes:
         context: The context.
-        target: VM id of the engine that gets it.
-        seconds: Time that moving takes.
+        target: VM id of the receiving engine.
+        seconds: Duration of the transfer.
     """
 
     context: Context
@@ -99,22 +99,22 @@
 
 
 def move_seconds(tokens: int, settings: TransferSettings) -> float:
-    """Returns the time that moving a context takes."""
+    """Returns the duration of the transfer of a context."""
     return tokens * settings.bytes_per_token / settings.bytes_per_second
 
 
 def saved_seconds(context: Context, settings: TransferSettings) -> float:
-    """Returns the time that a moved context is expected to save.
+    """Returns the time that the transfer of a context is expected to save.
 
-    That is the time of computing it anew, by the chance that the chat
-    returns at all: the longer it has been idle, the smaller.
+    That is the time to compute it again, multiplied by the probability that
+    the chat continues, which decreases with its idle time.
     """
     probability = math.exp(-context.idle / settings.return_seconds)
     return probability * context.tokens / settings.tokens_per_second
 
 
 def is_worthwhile(context: Context, settings: TransferSettings) -> bool:
-    """Returns whether a context should be moved."""
+    """Returns whether the transfer saves enough time."""
     cost = move_seconds(context.tokens, settings) * settings.margin
     return saved_seconds(context, settings) > cost
 
@@ -124,12 +124,12 @@
     loads: dict[str, int],
     settings: TransferSettings,
 ) -> list[Move]:
-    """Returns the moves that pay, those that save most for their time first.
+    """Returns the worthwhile moves, those with the highest saving rate first.
 
     Args:
-        contexts: What the leaving engine holds.
-        loads: Load of each engine that could take some.
-        settings: The cost rule.
+        contexts: Contexts on the leaving engine.
+        loads: Load of each engine that can receive contexts.
+        settings: Parameters of the cost rule.
     """
     if not loads:
         return []
@@ -153,11 +153,11 @@
 async def execute_moves(
     client: CacheClient, source: str, moves: Sequence[Move], seconds: float
 ) -> AsyncIterator[Move]:
-    """Moves contexts within a time; yields the moves that succeeded.
+    """Executes moves within a time limit; yields those that succeeded.
 
     One at a time: the link of the leaving engine also carries the answers
-    that it is still generating. An engine that has died instead of leaving
-    is given up after a few failures.
+    that it is still generating. If the engine crashed instead of leaving,
+    the transfers stop after a few failures.
     """
     deadline = trio.current_time() + seconds
     failures = 0
@@ -177,7 +177,7 @@
 
 
 async def move_context(client: CacheClient, source: str, move: Move) -> bool:
-    """Moves one context; returns whether it has arrived.
+    """Moves one context; returns whether the target has imported it.
 
     Raises:
         UpstreamUnreachable: One of the two engines does not answer.
@@ -190,7 +190,7 @@
         SKIPPED_CONTEXTS.inc({'upstream': source})
         raise
     except errors.UpstreamError:
-        # the context is computed anew at its next turn
+        # the context is computed again at the next turn
         SKIPPED_CONTEXTS.inc({'upstream': source})
         return False
     MOVED_CONTEXTS.inc({'upstream': source})
--- a/lavenderbend/coordination/call_budget.py
+++ b/lavenderbend/coordination/call_budget.py
@@ -1,4 +1,4 @@
-"""A limit of calls to the key-value service, with priorities."""
+"""Rate limit of calls to the key-value service, with priorities."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class CallPriority(enum.IntEnum):
-    """What a call is for; a smaller number goes first."""
+    """Purpose of a call; a smaller number has a higher priority."""
 
     CLAIMS = 0
     LEASES = 1
@@ -33,7 +33,7 @@
     BACKGROUND = 3
 
 
-# part of the burst that calls of a priority leave to those before them
+# fraction of the burst that is reserved for calls of higher priority
 RESERVED_FRACTIONS = {
     CallPriority.CLAIMS: 0.0,
     CallPriority.LEASES: 0.1,
@@ -44,13 +44,13 @@
 
 @attrs.define
 class TokenBucket:
-    """Calls that may be made now, growing at a rate.
+    """Token bucket; each call takes one token.
 
     Attributes:
-        rate: Calls a second.
-        burst: Calls that may come at once.
-        level: Calls that may be made now.
-        at: When `level` was right.
+        rate: Tokens added per second.
+        burst: Capacity in tokens.
+        tokens: Tokens available at `refilled_at`.
+        refilled_at: Router clock of the last refill.
     """
 
     rate: float
@@ -61,7 +61,7 @@
     refilled_at: float = 0.0
 
     def try_take(self, priority: CallPriority) -> float:
-        """Takes a call, or returns the seconds until it can be taken."""
+        """Takes a token and returns 0.0, or returns the seconds to wait."""
         now = trio.current_time()
         earned = max(0.0, now - self.refilled_at) * self.rate
         self.tokens = min(self.burst, self.tokens + earned)
@@ -74,17 +74,17 @@
 
 
 class CallBudget:
-    """What one process may ask of the service.
+    """Call rates of one process at the service.
 
-    The service counts calls and refuses beyond its rates, whoever makes
-    them: a router that follows configuration too eagerly would have another
-    router's claims refused. Less urgent calls leave a part of the burst to
-    more urgent ones, and are given up rather than queued for long.
+    The service refuses calls above its rates, whichever router makes them: a
+    router that reads configuration too often would cause another router's
+    claims to be refused. Calls of lower priority leave a fraction of the
+    burst to those of higher priority, and fail instead of waiting for long.
 
     Attributes:
-        writes: Allowance of writes.
-        reads: Allowance of reads.
-        patience: Seconds that a call waits before it is given up.
+        writes: Token bucket of writes.
+        reads: Token bucket of reads.
+        max_wait_seconds: Seconds that a call waits before it fails.
     """
 
     def __init__(
@@ -105,10 +105,10 @@
     async def acquire(
         self, bucket: TokenBucket, priority: CallPriority
     ) -> None:
-        """Waits until a call may be made.
+        """Waits for a token.
 
         Raises:
-            KeyValueUnavailable: Not within the patience; nothing was sent.
+            KeyValueUnavailable: None within the maximum wait; nothing was sent.
         """
         limit = trio.current_time() + self.max_wait_seconds
         pause = bucket.try_take(priority)
@@ -124,12 +124,12 @@
 
 
 class BudgetedStore(interfaces.KeyValueStore):
-    """A key-value store whose calls come out of a budget.
+    """A key-value store whose calls are limited by a budget.
 
     Attributes:
         store: The store that is called.
-        budget: Shared by all uses of the process.
-        priority: Of the calls made through this one.
+        budget: Call budget shared within the process.
+        priority: Priority of the calls made through this object.
     """
 
     def __init__(
@@ -143,11 +143,11 @@
         self.priority = priority
 
     async def acquire_read(self) -> None:
-        """Waits until a read may be made."""
+        """Waits for a read token."""
         await self.budget.acquire(self.budget.reads, self.priority)
 
     async def acquire_write(self) -> None:
-        """Waits until a write may be made."""
+        """Waits for a write token."""
         await self.budget.acquire(self.budget.writes, self.priority)
 
     async def read(
@@ -184,24 +184,24 @@
         return await self.store.delete(key, end, mod_revision)
 
     async def grant_lease(self, seconds: float) -> int:
-        """Grants within the budget."""
+        """Grants a lease within the budget."""
         await self.acquire_write()
         return await self.store.grant_lease(seconds)
 
     async def renew_lease(self, lease: int) -> float:
-        """Renews within the budget."""
+        """Renews a lease within the budget."""
         await self.acquire_write()
         return await self.store.renew_lease(lease)
 
     async def revoke_lease(self, lease: int) -> None:
-        """Revokes within the budget."""
+        """Revokes a lease within the budget."""
         await self.acquire_write()
         await self.store.revoke_lease(lease)
 
     async def watch(
         self, key: str, end: str | None, start_revision: int
     ) -> AsyncIterator[tuple[interfaces.Change, ...]]:
-        """Watches; opening it counts as a read."""
+        """Watches keys; opening the watch counts as a read."""
         await self.acquire_read()
         changes = self.store.watch(key, end, start_revision)
         async with contextlib.aclosing(changes):
--- a/lavenderbend/coordination/claims/__init__.py
+++ b/lavenderbend/coordination/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Non-idempotent requests run at most once."""
+"""At-most-once execution of non-idempotent requests."""
--- a/lavenderbend/coordination/claims/claims.py
+++ b/lavenderbend/coordination/claims/claims.py
@@ -1,4 +1,4 @@
-"""At most once: claims before dispatch, outcomes after it."""
+"""At-most-once execution: a claim before dispatch, an outcome after it."""
 
 from __future__ import annotations
 
@@ -35,16 +35,18 @@
 
 @attrs.frozen
 class ClaimPolicy:
-    """How claims are kept.
+    """Sharding, retention and time limits of claims.
 
     Attributes:
-        shards: Logs that the claims are spread over; the same on every
-            router, changed only with the whole fleet stopped.
-        retention: Seconds for which a claim is remembered.
-        clock_margin: Seconds by which clocks of routers may differ.
-        gone_seconds: A router missing for so long has stopped running what
-            it claimed; its callers' copies are told 'unknown' at once.
-        shard: How each shard writes.
+        shards: Number of logs that the claims are distributed over. It must
+            be the same on every router and be changed only while the whole
+            fleet is stopped.
+        retention: Seconds for which a claim is kept.
+        clock_margin: Seconds by which the clocks of routers may differ.
+        lost_router_seconds: A router that has been absent from membership
+            for this many seconds no longer runs the requests it claimed;
+            further copies of them get the outcome 'unknown' at once.
+        shard: Write settings of each shard.
     """
 
     shards: int = 1
@@ -57,19 +59,22 @@
 
 
 class Claims:
-    """Claims on one router: asks owners, and is the owner of its shards.
+    """Claims on one router: client of shard owners, and owner of shards.
 
     Attributes:
         name: Id of this router.
         store: The key-value service.
-        link: Messages to peers.
-        membership: Which routers answer.
-        rng: Source of jitter.
-        policy: How claims are kept.
-        shards: Shards loaded here, by number.
+        link: Sends messages to peers.
+        membership: The routers that are alive.
+        rng: Random source of jitter.
+        policy: Sharding, retention and time limits.
+        shards: Shards loaded on this router, by number.
         outcomes: Outcomes not yet recorded.
-        inquirer: Asks the owners of shards.
-        own: The latest requests claimed here, by key, with their outcomes.
+        requester: Sends claim requests to the owners of shards.
+        local_outcomes: Outcomes of the latest requests claimed by this
+            router, by key.
+        absent_since: Router clock since which a router has been absent from
+            membership, by router.
     """
 
     def __init__(
@@ -109,21 +114,21 @@
     async def claim(
         self, customer: str, key: str, body_digest: bytes, deadline: float
     ) -> claims.Claimed | claims.Recorded:
-        """Claims a request, or tells what became of its first copy.
+        """Claims a request, or returns the outcome of its first copy.
 
         Waits while the first copy runs, up to the deadline.
 
         Raises:
-            ClaimUnavailable: Not claimed; the request must not be run and
+            ClaimUnavailable: Not claimed. The request must not be run, and
                 its caller may be told 'not run'.
-            IdempotencyKeyReused: The key came with another body before.
+            IdempotencyKeyReused: The key was used with another body before.
         """
         hashed = claims.key_hash(customer, key)
         shard = claims.shard_of(hashed, self.policy.shards)
         token = claims.ClaimToken(
             shard, hashed, secrets.token_bytes(claims.TOKEN_BYTES)
         )
-        # a hash of the digest, so that digests of any length may come
+        # hashed again, so that digests of any length are accepted
         digest = claims.key_hash('', body_digest.hex())
         claim_request = claim_requester.ClaimRequest(
             token,
@@ -134,8 +139,8 @@
         try:
             reply = await self.requester.resolve(claim_request)
         except BaseException:
-            # whoever gives up must free the key: the claim may stand in
-            # the log, or come to stand there later
+            # a request that is abandoned must release its key: the claim
+            # may be in the log, or be written to it later
             if claim_request.may_be_committed:
                 self.release(token)
             raise
@@ -144,7 +149,7 @@
     def interpret_reply(
         self, reply: messages.ClaimAnswer, token: claims.ClaimToken
     ) -> claims.Claimed | claims.Recorded:
-        """Returns what the answer of an owner means to the asker."""
+        """Converts an owner's reply; raises if the key was reused."""
         claim_requester.CLAIM_RESULTS.inc({'result': reply.state})
         state = claims.ClaimState(reply.state)
         if state is claims.ClaimState.CLAIMED:
@@ -152,7 +157,7 @@
             return claims.Claimed(token)
         if state is claims.ClaimState.REUSED:
             raise errors.IdempotencyKeyReused(
-                'the Idempotency-Key was used with another body'
+                'the Idempotency-Key was already used with another body'
             )
         if state is claims.ClaimState.RECORDED:
             outcome = errors.Outcome(reply.outcome)
@@ -162,7 +167,7 @@
     async def on_lookup(
         self, router: str, lookup: messages.ClaimLook
     ) -> peer.Message:
-        """Answers from what is known here without asking the service."""
+        """Answers from local state, without a call to the service."""
         local_outcome = self.local_outcomes.get(lookup.key)
         if local_outcome is not None:
             return messages.ClaimAnswer(
@@ -179,7 +184,7 @@
         return messages.ClaimAnswer(state.value)
 
     def owner(self, shard: int, rank: int = 0) -> str:
-        """Returns the router to ask, the next by rank after each try."""
+        """Returns the router at a rank in the rendezvous order of a shard."""
         routers = set(self.membership.routers()) | {self.name}
         order = hashing.rendezvous_order(f'claims {shard}', routers)
         return order[rank % len(order)]
@@ -200,7 +205,7 @@
         outcome: errors.Outcome,
         status: int | None,
     ) -> None:
-        """Notes what became of a request that was claimed here."""
+        """Stores the outcome of a request that this router claimed."""
         self.local_outcomes.pop(token.key, None)
         if outcome is not errors.Outcome.NOT_RUN:
             self.local_outcomes[token.key] = claims.Recorded(outcome, status)
@@ -208,7 +213,7 @@
             self.local_outcomes.popitem(last=False)
 
     def release(self, token: claims.ClaimToken) -> None:
-        """Queues the end of a claim that will never be run."""
+        """Queues the release of a claim whose request will not be run."""
         self.outcomes.add(token, errors.Outcome.NOT_RUN, None)
 
     async def drain(self) -> None:
@@ -226,7 +231,7 @@
     async def on_claim(
         self, router: str, request: messages.ClaimAsk
     ) -> peer.Message:
-        """Commits a peer's claim, or waits with it for the first copy."""
+        """Commits a peer's claim, or waits for its first copy's outcome."""
         deadline = trio.current_time() + request.patience
         shard = None
         if request.shards == self.policy.shards:
@@ -246,7 +251,7 @@
     def recorded_reply(
         self, shard: claim_shards.Shard, key: bytes
     ) -> messages.ClaimAnswer:
-        """Returns the recorded outcome, unknown while there is none."""
+        """Returns the recorded outcome, 'unknown' while there is none."""
         state = claims.ClaimState.RECORDED.value
         held = shard.table.held.get(key)
         if held is None or held.outcome is None:
@@ -259,22 +264,22 @@
         line: claims.ClaimLine,
         deadline: float,
     ) -> claims.ClaimState:
-        """Waits while the first copy runs on a router that is there."""
+        """Waits while the first copy runs on a router that is not lost."""
         held = shard.table.held.get(line.key)
         if held is not None and self.is_lost(held.entry):
             return claims.ClaimState.RECORDED
         await shard.wait_for_outcome(line.key, deadline)
         state = shard.table.state(line.key, line.token, line.digest)
         if state is claims.ClaimState.RUNNING:
-            # the outcome may stand in the log by another owner's hand
+            # another owner may have written the outcome to the log
             shard.request_reading()
         if state is claims.ClaimState.ABSENT:
-            # released, so the asker is to claim it again
+            # released, so the requesting router is to claim it again
             return claims.ClaimState.RUNNING
         return state
 
     def is_lost(self, router: str) -> bool:
-        """Returns whether a router has been missing for long enough."""
+        """Returns whether a router has been absent for too long."""
         now = trio.current_time()
         if router in self.membership.routers() or router == self.name:
             self.absent_since.pop(router, None)
@@ -285,7 +290,7 @@
     async def on_outcomes(
         self, router: str, request: messages.OutcomesSay
     ) -> peer.Message:
-        """Commits the outcomes that a peer brings."""
+        """Commits the outcomes that a peer sends."""
         shard = self.ensure_shard(request.shard)
         if shard is None:
             return messages.OutcomesAnswer(False)
@@ -303,7 +308,7 @@
         return messages.OutcomesAnswer(await shard.record(lines, deadline))
 
     def ensure_shard(self, number: int) -> claim_shards.Shard | None:
-        """Returns a shard, started here if it was not; None if stopped."""
+        """Returns a shard, started if necessary; None if not running."""
         if number in self.shards:
             return self.shards[number]
         if self.nursery is None:
@@ -330,7 +335,7 @@
             await shard.run()
 
     async def load_owned_shards(self) -> None:
-        """Loads the shards that fall to this router before they are asked."""
+        """Loads owned shards before the first request for them arrives."""
         while True:
             for number in range(self.policy.shards):
                 if self.owner(number) == self.name:
@@ -338,7 +343,7 @@
             await self.membership.wait_changed()
 
     async def run_maintenance(self) -> None:
-        """Compacts owned shards and drops those no longer used."""
+        """Compacts owned shards and stops idle ones owned by other routers."""
         while True:
             await trio.sleep(MAINTENANCE_SECONDS)
             for shard in list(self.shards.values()):
@@ -349,13 +354,13 @@
                     self.scopes.pop(shard.number).cancel()
 
     def is_idle(self, shard: claim_shards.Shard) -> bool:
-        """Returns whether nobody needs the shard here."""
+        """Returns whether the shard is unused on this router."""
         if shard.queue.claims or shard.queue.outcomes:
             return False
         return trio.current_time() - shard.last_used_at >= IDLE_SHARD_SECONDS
 
     async def compact(self, shard: claim_shards.Shard) -> None:
-        """Compacts a shard; a failure leaves it for the next time."""
+        """Compacts a shard; after a failure the next run tries again."""
         retained_seconds = self.policy.retention + self.policy.clock_margin
         try:
             await shard.compact(retained_seconds)
--- a/lavenderbend/coordination/claims/commit_queue.py
+++ b/lavenderbend/coordination/claims/commit_queue.py
@@ -1,4 +1,4 @@
-"""Claims and outcomes that wait for a batch, and when batches are written."""
+"""Claims and outcomes to be committed, and when a batch is written."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 
 @attrs.frozen
 class ShardPolicy:
-    """How a shard writes.
+    """Write settings of a shard.
 
     Attributes:
-        gap: Least seconds between the beginnings of two batches.
-        outcome_delay: Seconds that outcomes wait for claims to ride with.
-        give_up: Seconds of silence of the key-value service after which
-            claims are refused at once.
-        failed_calls: Calls that must have failed in a row besides, so that
-            a service that only loses answers now and then is not taken for
-            one that is down.
+        batch_interval: Minimum seconds between the starts of two batches.
+        outcome_delay: Seconds for which outcomes wait to be written in the
+            same batch as claims.
+        outage_seconds: Seconds without an answer from the key-value service
+            after which claims are refused at once.
+        outage_failures: Consecutive failed calls that are required as well,
+            so that a service that loses an occasional answer is not
+            considered down.
     """
 
     batch_interval: float = 0.0105
@@ -37,14 +38,14 @@
 
     Attributes:
         line: The claim.
-        deadline: When its asker stops waiting.
-        since: When it came.
-        reading: Number of the reading of the log without which its key
-            cannot be called in use, 0 for none.
-        failures: Calls to the service that began since and failed.
+        deadline: Router clock at which the requesting router stops waiting.
+        queued_at: Router clock at which it was queued.
+        min_reading: Number of the log reading that must be applied before
+            its key may be reported as reused, 0 for none.
+        failures: Calls to the service that began since then and failed.
         batched: Whether it is part of a batch that may have been written.
-        state: Where it stands, None while undecided.
-        decided: Set with `state`.
+        state: The result, None while undecided.
+        decided: Set together with `state`.
     """
 
     line: claims.ClaimLine
@@ -57,7 +58,7 @@
     decided: trio.Event = attrs.field(factory=trio.Event)
 
     def decide(self, state: claims.ClaimState) -> None:
-        """Gives the answer."""
+        """Sets the result."""
         self.state = state
         self.decided.set()
 
@@ -68,8 +69,8 @@
 
     Attributes:
         lines: The outcomes.
-        since: When they came.
-        committed: Set when they stand in the log.
+        queued_at: Router clock at which they were queued.
+        committed: Set when they are in the log.
     """
 
     lines: tuple[claims.OutcomeLine, ...]
@@ -78,12 +79,12 @@
 
 
 class CommitQueue:
-    """What waits to be committed to one shard, oldest first.
+    """Claims and outcomes to be committed to one shard, oldest first.
 
     Attributes:
-        policy: How the shard writes.
-        claims: Claims without an answer.
-        outcomes: Outcomes not known to stand in the log.
+        policy: Write settings of the shard.
+        claims: Undecided claims.
+        outcomes: Outcomes not known to be in the log.
     """
 
     def __init__(self, policy: ShardPolicy) -> None:
@@ -92,23 +93,23 @@
         self.outcomes: list[PendingOutcomes] = []
 
     def due(self) -> bool:
-        """Returns whether a batch is to be written now."""
+        """Returns whether a batch is due."""
         if self.claims:
             return True
         return trio.current_time() >= self.outcomes_due()
 
     def outcomes_due(self) -> float:
-        """Returns when the oldest outcomes have waited long enough."""
+        """Returns the router clock at which the oldest outcomes are due."""
         if not self.outcomes:
             return float('inf')
         return self.outcomes[0].queued_at + self.policy.outcome_delay
 
     def next_claims(self) -> list[PendingClaim]:
-        """Returns the oldest claims, as many as fit one batch."""
+        """Returns the oldest claims, as many as fit in one batch."""
         return self.claims[:MAX_BATCH_LINES]
 
     def next_outcomes(self) -> list[PendingOutcomes]:
-        """Returns the oldest outcomes, as many as fit one batch."""
+        """Returns the oldest outcomes, as many as fit in one batch."""
         lines = 0
         batch = []
         for pending in self.outcomes:
@@ -121,11 +122,11 @@
     def resolve_claims(
         self, table: claims.ClaimTable, applied_reading: int
     ) -> None:
-        """Answers the claims that the table decides.
+        """Decides the claims whose state the table contains.
 
         Args:
-            table: The table.
-            shown: The latest reading of the log that it shows.
+            table: The table of claims.
+            applied_reading: Number of the latest log reading applied to it.
         """
         now = trio.current_time()
         undecided = []
@@ -133,7 +134,7 @@
             line = pending.line
             state = table.state(line.key, line.token, line.digest)
             if (line.key, line.token) in table.released:
-                # its asker has given up; it must not be committed again
+                # already released; it must not be committed again
                 pending.decide(claims.ClaimState.UNAVAILABLE)
             elif is_decisive(state, pending, applied_reading):
                 pending.decide(state)
@@ -142,7 +143,7 @@
         self.claims = undecided
 
     def note_committed(self, outcomes: list[PendingOutcomes]) -> None:
-        """Tells those who wait for outcomes to be committed."""
+        """Marks outcomes as committed and removes them."""
         for pending in outcomes:
             pending.committed.set()
         self.outcomes = [
@@ -154,13 +155,13 @@
     def note_failed_call(self, began: float, refuse: bool) -> None:
         """Counts a failed call to the service for the claims it concerns.
 
-        Once the service has been silent for a while, a claim is refused by
-        the first few calls that began after it came and failed: no later,
-        and not for a silence that was over when it came.
+        During an outage a claim is refused after the first few failed calls
+        that began after it was queued: no later, and not because of an
+        outage that ended before it was queued.
 
         Args:
-            began: When the call began.
-            refuse: Whether the service has been silent for too long.
+            began: Router clock at which the call began.
+            refuse: Whether the service has not answered for too long.
         """
         for pending in self.claims:
             pending.failures += pending.queued_at <= began
@@ -176,11 +177,11 @@
 def is_decisive(
     state: claims.ClaimState, pending: PendingClaim, applied_reading: int
 ) -> bool:
-    """Returns whether a state of the table answers a claim.
+    """Returns whether a state in the table decides a claim.
 
-    The claim with the other body may have been released by another router,
-    which a table read before this claim came does not show: the caller would
-    be told for good that a key is in use that is free.
+    Another router may have released the claim with the other body, which a
+    table read before this claim was queued does not contain. The caller would
+    be told for good that a free key is in use.
     """
     if state is claims.ClaimState.REUSED:
         return pending.min_reading <= applied_reading
--- a/lavenderbend/coordination/claims/outcomes.py
+++ b/lavenderbend/coordination/claims/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes on their way to the owners of their shards."""
+"""Delivery of outcomes to the owners of their shards."""
 
 from __future__ import annotations
 
@@ -34,11 +34,12 @@
     """Keeps outcomes until an owner has committed them.
 
     Attributes:
-        link: Messages to peers.
-        owner: Gives the router to ask for a shard, by rank.
-        rng: Source of jitter.
+        link: Sends messages to peers.
+        owner: Returns the router at a rank in the order of a shard.
+        rng: Random source of jitter.
         queue: Outcomes not yet delivered, by shard.
-        tries: Owners asked in vain, by shard.
+        failed_requests: Consecutive failed deliveries, by shard; also the
+            rank of the owner that is asked next.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
             await self.delivered.wait()
 
     async def run(self) -> None:
-        """Takes queued outcomes to the owners of their shards."""
+        """Delivers queued outcomes to the owners of their shards."""
         while True:
             await self.queued.wait()
             await trio.sleep(BATCH_DELAY_SECONDS)
@@ -92,10 +93,11 @@
             delivered.set()
 
     def next_batches(self) -> dict[int, list[claims.OutcomeLine]]:
-        """Takes the next outcomes, no more than fit one batch of a log.
+        """Dequeues at most one request's outcomes per shard.
 
-        After a long outage there are many: all in one entry would be over
-        the service's limit of a value, and nothing would ever be written.
+        After a long outage many outcomes are queued. All of them in one log
+        entry would exceed the service's limit on the size of a value, so
+        that no write would ever succeed.
         """
         batches = {}
         for shard, lines in self.queue.items():
@@ -109,7 +111,7 @@
     async def deliver(
         self, shard: int, lines: list[claims.OutcomeLine]
     ) -> None:
-        """Has outcomes recorded, or puts them back into the queue."""
+        """Sends outcomes to an owner; requeues them if that fails."""
         request = messages.OutcomesSay(
             shard,
             [line.key for line in lines],
@@ -121,7 +123,7 @@
         if await self.send_request(request, self.failed_requests.get(shard, 0)):
             self.failed_requests.pop(shard, None)
             return
-        # the next by rank; an owner that was asked in vain may be gone
+        # the next by rank; the owner that did not commit may be gone
         self.failed_requests[shard] = self.failed_requests.get(shard, 0) + 1
         self.queue.setdefault(shard, [])[:0] = lines
         self.queued.set()
--- a/lavenderbend/coordination/claims/requester.py
+++ b/lavenderbend/coordination/claims/requester.py
@@ -1,4 +1,4 @@
-"""The asking side of a claim: which routers to ask, and how often."""
+"""Client side of a claim: which routers are asked, and how often."""
 
 from __future__ import annotations
 
@@ -38,15 +38,17 @@
 
 @attrs.define
 class ClaimRequest:
-    """What one call of `Claims.claim` goes through.
+    """State of one call of `Claims.claim`.
 
     Attributes:
-        token: Of the claim.
+        token: Token of the claim.
         digest: Hash of the body.
-        deadline: When to give up.
-        shards: How many shards there are.
-        tries: Owners asked in vain.
-        unsure: Whether the claim may stand in the log or come to.
+        deadline: Router clock at which the call fails.
+        shards: Number of shards.
+        failed_requests: Requests that no owner decided; also the rank of
+            the owner that is asked next.
+        may_be_committed: Whether the claim may be in the log or still be
+            written to it.
     """
 
     token: claims.ClaimToken
@@ -57,18 +59,18 @@
     may_be_committed: bool = False
 
     def seconds_left(self) -> float:
-        """Returns the seconds to the deadline."""
+        """Returns the seconds left until the deadline."""
         return self.deadline - trio.current_time()
 
 
 class ClaimRequester:
-    """Asks owners of shards on behalf of one router.
+    """Sends the claim requests of one router to the owners of shards.
 
     Attributes:
         name: Id of this router.
-        link: Messages to peers.
-        owner: Gives the router to ask for a shard, by rank.
-        rng: Source of jitter.
+        link: Sends messages to peers.
+        owner: Returns the router at a rank in the order of a shard.
+        rng: Random source of jitter.
     """
 
     def __init__(
@@ -86,10 +88,10 @@
     async def resolve(
         self, claim_request: ClaimRequest
     ) -> messages.ClaimAnswer:
-        """Asks owners, and others where these cannot decide.
+        """Asks owners, then former owners if the owners cannot decide.
 
         Raises:
-            ClaimUnavailable: Nobody knows anything of the key.
+            ClaimUnavailable: No router has a claim of the key.
         """
         try:
             return await self.query_owners(claim_request)
@@ -102,11 +104,11 @@
     async def query_former_owners(
         self, claim_request: ClaimRequest
     ) -> messages.ClaimAnswer | None:
-        """Returns what routers know that may have owned the shard before.
+        """Returns the reply of a router that may have owned the shard.
 
-        A shard falls to a new owner during an outage, and it cannot read
-        the log: it would say 'not run' to a copy of a request that the
-        owner before knows to have run.
+        If a shard gets a new owner during an outage, that owner cannot read
+        the log. It would answer 'not run' to a copy of a request that the
+        previous owner knows to have run.
         """
         token = claim_request.token
         lookup = messages.ClaimLook(
@@ -136,10 +138,10 @@
     async def query_owners(
         self, claim_request: ClaimRequest
     ) -> messages.ClaimAnswer:
-        """Asks owners until one decides, or the deadline comes.
+        """Asks owners until one decides or the deadline has passed.
 
         Raises:
-            ClaimUnavailable: None did.
+            ClaimUnavailable: No owner decided.
         """
         running = None
         while claim_request.seconds_left() > 0:
@@ -166,11 +168,11 @@
     async def query_owner(
         self, claim_request: ClaimRequest
     ) -> messages.ClaimAnswer:
-        """Asks one owner; undecided if it cannot be reached.
+        """Asks one owner; returns 'undecided' if it cannot be reached.
 
-        After a failure the next router by rank is asked, with the same
-        token: if the first one committed the claim all the same, the log
-        says so and the answer is 'claimed', once.
+        After a failure the next router by rank is asked with the same
+        token. If the first one committed the claim nevertheless, the log
+        contains it and the reply is 'claimed', once.
         """
         token = claim_request.token
         wait = min(claim_request.seconds_left(), OWNER_WAIT_SECONDS)
--- a/lavenderbend/coordination/claims/shards.py
+++ b/lavenderbend/coordination/claims/shards.py
@@ -1,4 +1,4 @@
-"""One shard of the claims: its table and the writer of its log."""
+"""One shard of the claims: its table, and the writer of its log."""
 
 from __future__ import annotations
 
@@ -39,24 +39,27 @@
 
 
 class Shard:
-    """Commits claims of one shard, many with one write.
+    """Commits the claims of one shard in batches.
 
     Any number of routers may run the same shard at once: the log decides.
-    A claim is answered only from entries that stand in the log.
+    A claim is answered only from entries that are in the log.
 
     Attributes:
         number: Number of the shard.
-        table: The log's claims as far as read.
-        next: Number of the next log entry.
-        queue: What waits to be committed.
-        attempt_at: When the latest call to the service began.
-        down_since: When the service stopped answering, None if it answers.
-        failures: Calls to it that failed in a row.
-        stale: Whether others may have written since.
-        begun: Readings of the log that have begun.
-        shown: The latest of them that the table shows.
-        used_at: When somebody last asked.
-        loads: Seconds that each reading of the log took.
+        table: Claims of the log entries read so far.
+        next_entry: Number of the next log entry.
+        queue: Claims and outcomes to be committed.
+        call_began_at: Router clock at which the latest call to the service
+            began.
+        down_since: Router clock at which the service stopped answering,
+            None if it answers.
+        failures: Consecutive failed calls to the service.
+        needs_reading: Whether other routers may have written to the log
+            since it was read.
+        readings_begun: Number of log readings that have begun.
+        applied_reading: Number of the latest reading applied to the table.
+        last_used_at: Router clock of the latest request to the shard.
+        reading_seconds: Durations of the latest log readings.
     """
 
     def __init__(
@@ -95,22 +98,22 @@
     async def claim(
         self, line: claims.ClaimLine, deadline: float
     ) -> claims.ClaimState:
-        """Commits a claim, or tells where the key's earlier one stands.
+        """Commits a claim, or returns the state of the key's earlier one.
 
-        Only `REFUSED` promises that the claim will not come to stand in
-        the log.
+        Only `REFUSED` guarantees that the claim will not be written to the
+        log.
         """
         self.last_used_at = trio.current_time()
         state = self.table.state(line.key, line.token, line.digest)
         min_reading = 0
         if state is claims.ClaimState.REUSED:
             # the claim with the other body may have been released since;
-            # what is on its way now may not show that
+            # a reading that is in progress may not contain that
             self.needs_reading = True
             min_reading = self.readings_begun + 1
         elif state is not claims.ClaimState.ABSENT:
-            # also while the service is down: a copy of a request that ran
-            # must not hear 'not run' where it is known that it ran
+            # also while the service is down: a copy of a request that is
+            # known to have run must not get 'not run'
             return state
         pending = commit_queue.PendingClaim(
             line, deadline, trio.current_time(), min_reading
@@ -124,7 +127,7 @@
     async def record(
         self, lines: tuple[claims.OutcomeLine, ...], deadline: float
     ) -> bool:
-        """Commits outcomes; returns whether they stand in the log."""
+        """Commits outcomes; returns whether they are in the log."""
         self.last_used_at = trio.current_time()
         pending = commit_queue.PendingOutcomes(lines, trio.current_time())
         self.queue.outcomes.append(pending)
@@ -152,14 +155,14 @@
         return held is not None and held.outcome is None
 
     def is_refusing(self) -> bool:
-        """Returns whether the service has been silent for too long."""
+        """Returns whether the service has not answered for too long."""
         if self.failures < self.policy.outage_failures:
             return False
         silence = trio.current_time() - self.down_since
         return silence >= self.policy.outage_seconds
 
     def request_reading(self) -> None:
-        """Has the log read for what others wrote."""
+        """Requests a reading of the entries that other routers wrote."""
         self.needs_reading = True
         self.work_queued.set()
 
@@ -180,8 +183,8 @@
             except errors.LogCompacted:
                 self.reset()
             except (errors.KeyValueError, errors.CodecError) as exc:
-                # an entry that cannot be read may hold a claim: nothing is
-                # answered from beyond it
+                # an entry that cannot be decoded may contain a claim, so no
+                # entry after it is used to answer claims
                 if (
                     isinstance(exc, UNUSABLE_LOG_ERRORS)
                     and self.down_since is None
@@ -192,7 +195,7 @@
                 pause = min(pause * 2, MAX_RETRY_SECONDS)
 
     async def wait_for_work(self) -> None:
-        """Waits until there is something to write, and for the gap."""
+        """Waits until a batch is due and the batch interval has passed."""
         if self.down_since is None:
             self.work_queued = trio.Event()
             if not self.needs_reading and not self.queue.due():
@@ -201,9 +204,9 @@
         await trio.sleep_until(self.last_batch_at + self.policy.batch_interval)
 
     async def catch_up(self) -> None:
-        """Reads what stands in the log beyond the table."""
+        """Reads the log entries that are not yet in the table."""
         began = trio.current_time()
-        # who asks for a reading from here on is not served by this one
+        # a reading requested from here on needs a further one
         self.needs_reading = False
         self.readings_begun += 1
         try:
@@ -216,7 +219,7 @@
         del self.reading_seconds[:-100]
 
     async def read_new_entries(self) -> None:
-        """Takes the entries beyond the table, page by page."""
+        """Applies the entries after those in the table, page by page."""
         if self.next_entry == 0:
             await self.check_layout()
         while True:
@@ -232,31 +235,31 @@
         self.next_entry = max(self.next_entry, 1)
 
     async def check_layout(self) -> None:
-        """Makes sure that every router spreads the claims alike.
+        """Checks that this router has the fleet's number of shards.
 
         A router with another number of shards would look for a key in
         another log, not find it there, and run its request again.
 
         Raises:
-            ClaimLayoutDiffers: This router's number is not the fleet's.
+            ClaimLayoutDiffers: The number of shards differs.
         """
         value = str(self.shards).encode()
         await self.store.create(self.layout_key, value)
         layout = await self.store.read(self.layout_key)
         if not layout.items or layout.items[0].value != value:
             raise errors.ClaimLayoutDiffers(
-                f'{self.shards} shards here, not so at {self.layout_key}'
+                f'{self.shards} shards configured, not as in {self.layout_key}'
             )
 
     def apply(self, entry: log.Entry) -> None:
-        """Takes an entry of the log into the table."""
+        """Applies a log entry to the table."""
         self.table.apply(entry.number, records_claims.decode(entry.value))
         self.next_entry = entry.number + 1
         table_changed, self.table_changed = self.table_changed, trio.Event()
         table_changed.set()
 
     async def commit(self) -> None:
-        """Writes one batch and takes whatever stands at its number."""
+        """Writes one batch and applies the entry found at its number."""
         batched = self.queue.next_claims()
         outcomes = self.queue.next_outcomes()
         if not batched and not outcomes:
@@ -278,18 +281,18 @@
             BATCHES.inc({'result': 'ours'})
             self.queue.note_committed(outcomes)
         else:
-            # another router took the number: its entry counts first, and
-            # ours is written again behind it
+            # another router wrote this entry: it is applied first, and
+            # our batch is written again after it
             BATCHES.inc({'result': 'taken'})
             self.needs_reading = True
         self.queue.resolve_claims(self.table, self.applied_reading)
 
     async def append_confirmed(self, number: int, value: bytes) -> log.Entry:
-        """Appends until it is known what stands at the number.
+        """Appends until the entry at the number is known.
 
-        A batch whose answer was lost may stand there. Writing its claims
-        anew before that is known could answer one of them 'claimed' from
-        neither entry; so nothing else is written until it is settled.
+        A batch whose reply was lost may be there. Writing its claims again
+        before that is known could leave one of them without the reply
+        'claimed' from either entry, so nothing else is written until then.
         """
         pause = RETRY_SECONDS
         while True:
@@ -307,12 +310,12 @@
             pause = min(pause * 2, MAX_RETRY_SECONDS)
 
     def note_success(self) -> None:
-        """Notes that the service answers."""
+        """Records that the service answered."""
         self.down_since = None
         self.failures = 0
 
     def note_failure(self) -> None:
-        """Notes that it does not, and refuses who has waited too long."""
+        """Records a failed call, and refuses claims during an outage."""
         now = trio.current_time()
         self.failures += 1
         if self.down_since is None:
@@ -320,13 +323,13 @@
         self.queue.note_failed_call(self.call_began_at, self.is_refusing())
 
     def reset(self) -> None:
-        """Forgets the table; the log was compacted beyond it."""
+        """Clears the table; the log was compacted past its last entry."""
         self.table = claims.ClaimTable()
         self.next_entry = 0
         self.needs_reading = True
 
     async def compact(self, retention: float) -> None:
-        """Forgets claims older than the retention, here and in the log."""
+        """Removes claims older than the retention from table and log."""
         before = self.table.first_since(self.clock() - retention)
         if not before or before <= self.table.batches[0].number:
             return
--- a/lavenderbend/coordination/dispatch/__init__.py
+++ b/lavenderbend/coordination/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""The path of a request: rule, permit, attempts, relay, record."""
+"""Request dispatch: rule, permit, attempts, relay, record."""
 
 from lavenderbend.coordination.dispatch.answers import Answer
 from lavenderbend.coordination.dispatch.components import DispatchSettings
--- a/lavenderbend/coordination/dispatch/answers.py
+++ b/lavenderbend/coordination/dispatch/answers.py
@@ -1,4 +1,4 @@
-"""The answer that goes to a caller."""
+"""The answer sent to a caller."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Answer:
-    """One answer; iterate it to its end, and close it in any case.
+    """One answer; iterate over it to its end, and always close it.
 
     Attributes:
         status: HTTP status.
         headers: Names in lower case.
         decision_id: Id of the decision.
-        first: The first piece of the body, None for an empty one.
-        run: Where the rest comes from, None if `first` is all.
-        finish: Called once with the error that ended the answer, or None.
-        begun: Whether `first` was taken.
-        finished: Whether the end was noted.
+        first_piece: The first piece of the body, None for an empty one.
+        exchange: Source of the further pieces, None if there are none.
+        on_end: Called once with the error that ended the answer, or None.
+        first_taken: Whether `first_piece` was returned.
+        finished: Whether `on_end` was called.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.finished = False
 
     async def next_piece(self) -> bytes | None:
-        """Returns more of the body, None at its end.
+        """Returns the next piece of the body, None at its end.
 
         Raises:
             RequestError: The answer cannot be completed.
@@ -72,7 +72,7 @@
         return piece
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the body; raises as `next_piece`."""
+        """Yields the pieces of the body; raises as `next_piece`."""
         while (piece := await self.next_piece()) is not None:
             yield piece
 
@@ -80,17 +80,17 @@
         return self.chunks()
 
     def note_end(self, error: BaseException | None) -> None:
-        """Notes the end, once."""
+        """Calls `on_end`, once."""
         if not self.finished:
             self.finished = True
             self.on_end(error)
 
     async def close(self) -> None:
-        """Ends the answer; the upstream's work is cancelled if unfinished."""
+        """Ends the answer; cancels an unfinished request at the upstream."""
         if self.finished:
             return
-        # the caller is gone and this task is being cancelled: the permit
-        # must go back and the upstream must be told all the same
+        # the caller disconnected and this task is being cancelled: the
+        # permit must still be released and the upstream request closed
         with trio.move_on_after(CLOSE_SECONDS) as scope:
             scope.shield = True
             if self.exchange is not None:
--- a/lavenderbend/coordination/dispatch/at_most_once.py
+++ b/lavenderbend/coordination/dispatch/at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may run at most once."""
+"""Non-idempotent requests, which run at most once."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     key = request.idempotency_key
     if not key:
         raise errors.IdempotencyKeyMissing(
-            'a request that may run once needs an Idempotency-Key'
+            'a non-idempotent request needs an Idempotency-Key'
         )
     if len(key) > MAX_KEY_CHARACTERS:
         raise errors.RequestInvalid('the Idempotency-Key is too long')
@@ -49,7 +49,7 @@
 
 
 def body_digest(request: requests.Request) -> bytes:
-    """Returns the digest by which copies of a request are told apart."""
+    """Returns the SHA-256 digest of path and body."""
     digest = hashlib.sha256(request.path.encode())
     digest.update(b'\0')
     digest.update(request.body)
@@ -57,14 +57,14 @@
 
 
 async def run_to_end(exchange: exchange_module.Exchange) -> bytes:
-    """Runs a request to its end and returns the whole body.
+    """Runs a request to its end and returns the complete body.
 
-    The caller shields it: cut off because its own caller went away, nobody
-    could say whether it ran, and the next copy could never be answered. The
-    rule's timeout bounds it.
+    The calling function shields it from cancellation: if it were cancelled
+    because the caller disconnected, its outcome would be unknown and the
+    next copy could never be answered. The rule's timeout limits it.
 
     Raises:
-        RequestError: The answer cannot be had.
+        RequestError: There is no complete answer.
     """
     limit = exchange.components.settings.answers.whole_bytes
     parts: list[bytes] = []
@@ -75,15 +75,15 @@
             size += len(piece)
             if size > limit:
                 await exchange.abandon()
-                raise errors.RequestFailed('the answer is too large')
+                raise errors.RequestFailed('the answer is over the size limit')
             parts.append(piece)
             piece = await exchange.next_piece()
         return b''.join(parts)
-    raise errors.OutcomeUnknown('no whole answer before the deadline')
+    raise errors.OutcomeUnknown('no complete answer before the deadline')
 
 
 def digest(request: requests.Request) -> bytes:
-    """Returns the hash that tells two bodies under one key apart."""
+    """Returns the hash by which bodies sent under one key are compared."""
     return hashing.hash64(request.path, request.body).to_bytes(8, 'big')
 
 
@@ -94,16 +94,16 @@
     try:
         await claims.record(token, outcome, status)
     except errors.LavenderbendError as exc:
-        # the caller's answer must not be lost because its record is: the
-        # next copy is told that the outcome is unknown, which is safe
+        # a failure to record must not fail the caller's request: the next
+        # copy gets the outcome "unknown", which is safe
         unrecorded.inc({'error': type(exc).__name__})
 
 
 def check_recorded(recorded: claims_state.Recorded) -> None:
-    """Raises the error that the first copy of a request ended with.
+    """Raises the error with which the first copy of a request ended.
 
     Raises:
-        OutcomeUnknown: Nobody can tell whether the first copy ran.
+        OutcomeUnknown: It is not known whether the first copy ran.
         RequestFailed: The first copy ran and failed.
     """
     if recorded.outcome is errors.Outcome.FAILED:
@@ -113,6 +113,6 @@
 
 
 def replay_body(outcome: errors.Outcome, status: int) -> bytes:
-    """Returns the body that tells a further copy what became of the first."""
+    """Returns the body sent to a further copy: the first copy's outcome."""
     document = {'outcome': outcome.value, 'status': status, 'replayed': True}
     return orjson.dumps(document)
--- a/lavenderbend/coordination/dispatch/attempts.py
+++ b/lavenderbend/coordination/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One try at an upstream, from its permit to its end."""
+"""One attempt at an upstream, from its permit to its end."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class Attempt:
-    """One try at an upstream.
+    """One attempt at an upstream.
 
     Attributes:
-        parts: The collaborators.
-        request: What is sent.
-        permit: The leave to send it.
-        record: What the decision keeps of it.
-        answer: The upstream's answer once its head has come.
-        body: Reads that answer.
+        components: Components of the request path.
+        request: The request that is sent.
+        permit: The permit to send it.
+        record: Record of the attempt in the decision.
+        answer: The upstream's answer once its head has been received.
+        body: Reader of the answer's body.
         reported_instance: Instance id in the last load report.
-        settled: Whether the permit is back and the result is noted.
+        finished: Whether the permit is released and the result is recorded.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
 
     @property
     def instance(self) -> str:
-        """Instance id that the upstream stated, empty if none."""
+        """Instance id given by the upstream, empty if none."""
         if self.answer is not None and self.answer.start.instance:
             return self.answer.start.instance
         return self.reported_instance
@@ -84,7 +84,7 @@
     ) -> None:
         """Sends the request and reads the head of the answer.
 
-        The caller bounds the time.
+        The timeout is set by the caller of this method.
         """
         upstream_headers = {**headers, **self.hop.headers}
         self.answer = await self.components.upstream_client.open(
@@ -98,14 +98,14 @@
     def body_reader(
         self, answer: interfaces.UpstreamAnswer, check: relay.StreamCheck
     ) -> bodies.Body:
-        """Returns the reader that fits the answer."""
+        """Returns the reader for this kind of answer."""
         limits = self.components.settings.answers
         engine = self.permit.upstream.kind is upstreams.UpstreamKind.ENGINE
         chat = engine and self.request.path == openai.CHAT_PATH
         successful = 200 <= answer.start.status < 300
         if chat and successful and self.request.stream:
             if not bodies.is_event_stream(answer.start):
-                raise errors.UpstreamBroke('the answer is no stream')
+                raise errors.UpstreamBroke('the answer is not an event stream')
             return bodies.StreamBody(
                 answer, limits, check, self.components.pacer
             )
@@ -120,7 +120,7 @@
         return bodies.Body(answer, limits)
 
     async def next_piece(self) -> bytes | None:
-        """Returns bytes to pass on, None when the answer is whole."""
+        """Returns bytes to relay, None when the answer is complete."""
         assert self.body is not None
         piece = await self.body.next_piece()
         if self.record.first_byte is None:
@@ -128,7 +128,7 @@
         return piece
 
     async def finish(self, result: str, error: Exception | None) -> None:
-        """Gives the permit back and notes how it went, once."""
+        """Releases the permit and records the result, once."""
         if self.finished:
             return
         self.finished = True
@@ -136,17 +136,17 @@
         self.record.result = result
         self.record.finished = trio.current_time() - self.record.started
         self.hop.end('' if result == COMPLETE else result)
-        # the exchange ends before the permit goes back, so that the
-        # upstream is not given new work while it still does the old
+        # the exchange ends before the permit is released, so that the
+        # upstream gets no new request while it still runs this one
         if self.answer is not None:
             await self.answer.close()
         self.components.admission.release(self.permit, result)
-        # a caller that went away says nothing about the upstream
+        # a caller that disconnected says nothing about the upstream's health
         if error is not None or result == COMPLETE:
             self.note_result(error)
 
     def note_result(self, error: Exception | None) -> None:
-        """Tells membership how the upstream did."""
+        """Reports the result of the upstream to membership."""
         upstream = self.permit.upstream.id
         if isinstance(error, errors.UpstreamRefused):
             self.components.membership.note_draining(upstream)
--- a/lavenderbend/coordination/dispatch/bodies.py
+++ b/lavenderbend/coordination/dispatch/bodies.py
@@ -1,4 +1,4 @@
-"""How the body of an answer is read until it is proven whole."""
+"""Readers of answer bodies, which check that a body is complete."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     Attributes:
         iterator: The bytes as they arrive.
         limits: Limits on the answer.
-        watched: Whether the iterator itself ends stalls.
+        client_detects_stalls: Whether the iterator has a stall timeout of
+            its own.
     """
 
     def __init__(
@@ -41,13 +42,13 @@
         self.limits = limits
 
     def receive_next(self) -> Awaitable[bytes | None]:
-        """Returns what to await for the next bytes; as `receive`."""
+        """Returns an awaitable of the next bytes; as `receive`."""
         if self.client_detects_stalls:
             return self.receive_without_timeout()
         return self.receive()
 
     async def receive_without_timeout(self) -> bytes | None:
-        """Returns the next bytes of an iterator that itself ends stalls."""
+        """Returns the next bytes of an iterator with its own stall timeout."""
         try:
             return await self.iterator.__anext__()
         except StopAsyncIteration:
@@ -57,32 +58,34 @@
         """Returns the next bytes, None at the end.
 
         Raises:
-            UpstreamStalled: Nothing came in time.
+            UpstreamStalled: No bytes arrived within the stall timeout.
             UpstreamBroke: The answer ended early.
         """
         if self.client_detects_stalls:
             return await self.receive_without_timeout()
         try:
-            # without this an upstream that goes silent would hold the
+            # without this an upstream that stops sending would occupy the
             # caller, the permit and the memory of the exchange for ever
             with trio.move_on_after(self.limits.stall_seconds):
                 return await self.iterator.__anext__()
         except StopAsyncIteration:
             return None
-        raise errors.UpstreamStalled('the answer stopped arriving')
+        raise errors.UpstreamStalled(
+            'no bytes of the answer arrived within the stall timeout'
+        )
 
     async def next_piece(self) -> bytes | None:
-        """Returns bytes to pass on, None when the body is whole."""
+        """Returns bytes to relay, None when the body is complete."""
         return await self.receive()
 
 
 class BufferedBody(Body):
-    """A body that is passed on only when it is whole.
+    """A body that is relayed only when it is complete.
 
     Attributes:
-        chat: Whether it must be a whole chat answer.
-        named_by: Text that the id of a chat answer must hold.
-        given: Whether the body was passed on.
+        chat: Whether it must be a complete chat answer.
+        expected_id: Text that the id of a chat answer must contain.
+        relayed: Whether the body was returned.
     """
 
     def __init__(
@@ -114,18 +117,19 @@
         while (data := await self.receive()) is not None:
             size += len(data)
             if size > self.limits.whole_bytes:
-                raise errors.UpstreamBroke('the answer is too large')
+                raise errors.UpstreamBroke('the answer is over the size limit')
             parts.append(data)
         return parts[0] if len(parts) == 1 else b''.join(parts)
 
 
 class StreamBody(Body):
-    """A streamed chat answer, whole only at its terminator.
+    """A streamed chat answer, complete only at its terminator.
 
     Attributes:
-        check: What was passed on; outlives this body when it breaks.
+        stream_check: Checks of the events relayed so far; also used for the
+            body of the next attempt if this one breaks.
         pacer: Sets the pause between two pieces.
-        last: Wall clock of the last piece.
+        last_piece_at: Wall clock of the last piece.
     """
 
     def __init__(
@@ -142,12 +146,12 @@
         answer.wait_to_read = self.wait_to_read
 
     async def next_piece(self) -> bytes | None:
-        """Returns the next whole events, None after the terminator."""
+        """Returns the next complete events, None after the terminator."""
         while not self.stream_check.done:
             self.stream_check.raise_deferred_error()
             data = await self.receive_next()
             if data is None:
-                # the connection ended in good order, but an engine that
+                # the connection was closed properly, but an engine that
                 # stops early does that too: only the terminator counts
                 raise errors.UpstreamBroke(
                     'the answer ended before its terminator'
@@ -160,26 +164,26 @@
         return None
 
     def wait_to_read(self) -> float:
-        """Returns how long bytes that have come may wait to be read."""
+        """Returns the seconds for which received bytes may wait."""
         return self.pacer.pause_seconds(self.last_piece_at)
 
     async def read_to_end(self) -> None:
-        """Reads up to the end so that the connection can be used again."""
+        """Reads to the end, so that the connection can be reused."""
         with trio.move_on_after(self.limits.close_seconds):
             try:
                 await self.receive()
             except errors.UpstreamError:
-                # the answer is whole; only the connection is lost
+                # the answer is complete; only the connection is lost
                 return
 
 
 def is_event_stream(start: interfaces.AnswerStart) -> bool:
-    """Returns whether an answer is a stream of events."""
+    """Returns whether an answer is a stream of server-sent events."""
     kind = start.headers.get('content-type', '')
     return kind.partition(';')[0].strip().lower() == sse.CONTENT_TYPE
 
 
 def content_length(start: interfaces.AnswerStart) -> int | None:
-    """Returns the length that an answer states, None if it does not."""
+    """Returns the Content-Length of an answer, None if there is none."""
     value = start.headers.get(CONTENT_LENGTH, '')
     return int(value) if value.isdigit() and len(value) < 18 else None
--- a/lavenderbend/coordination/dispatch/components.py
+++ b/lavenderbend/coordination/dispatch/components.py
@@ -1,4 +1,4 @@
-"""What a dispatcher is put together from."""
+"""Components and settings of the request path."""
 
 from __future__ import annotations
 
@@ -39,19 +39,19 @@
 
 
 class Quarantine(Protocol):
-    """Knows requests that crash the upstreams that run them."""
+    """Tracks requests that crash the upstreams that run them."""
 
     def check(self, fingerprint: int) -> None:
         """Raises `RequestQuarantined` for a quarantined request."""
 
     def suspect(self, fingerprint: int) -> bool:
-        """Returns whether an upstream died while it ran the request."""
+        """Returns whether an upstream crashed while it ran the request."""
 
     def may_retry(self, fingerprint: int) -> bool:
         """Returns whether a further attempt may be made."""
 
     def survived(self, fingerprint: int) -> None:
-        """Notes that an upstream ran the request to its end."""
+        """Records that an upstream completed the request."""
 
     async def crashed(
         self,
@@ -61,10 +61,10 @@
         in_progress: int,
         ran: float,
     ) -> None:
-        """Notes that an upstream died while it ran the request."""
+        """Records that an upstream crashed while it ran the request."""
 
     async def wait_notices(self, fingerprint: int) -> None:
-        """Waits until `may_retry` knows what other routers had there."""
+        """Waits for other routers' notices, which `may_retry` needs."""
 
 
 @attrs.frozen
@@ -73,16 +73,18 @@
 
     Attributes:
         answers: Limits on the answers of upstreams.
-        held_bytes: An answer that states at most this length is held until
-            it is whole, so that it can be tried again unseen.
-        retries: Pauses and budgets of further attempts.
-        crash_check_seconds: Time for finding out whether an upstream that
+        held_bytes: An answer whose Content-Length is at most this is
+            buffered until it is complete, so that it can be retried without
+            the caller noticing.
+        retries: Backoff and budgets of retries.
+        crash_check_seconds: Timeout for checking whether an upstream that
             lost a request has crashed.
-        retry_after_seconds: Told to callers whose request was not run.
-        pacing: When and how far streams give way to short calls.
-        answers_named_by_request: Whether engines take the request's id over
-            into the `id` of a chat answer; an answer without it is then
-            somebody else's.
+        retry_after_seconds: Retry-After sent to callers whose request was
+            not run.
+        pacing: Pacing of streams in favour of short calls.
+        answer_ids_contain_request_id: Whether engines include the request's
+            id in the `id` of a chat answer. An answer without it then
+            belongs to another request.
         require_idempotency_key: Whether a non-idempotent request without an
             Idempotency-Key is refused.
     """
@@ -101,17 +103,17 @@
 
 @attrs.frozen
 class Components:
-    """The collaborators of the request path.
+    """Components of the request path.
 
     Attributes:
-        admission: Gives permits.
+        admission: Grants permits.
         upstream_client: Sends requests.
-        membership: Is told how upstreams do; has `note_result` and
+        membership: Gets the results of upstreams by `note_result` and
             `note_draining`.
-        quarantine: Knows requests that crash upstreams, or None.
+        quarantine: Tracks requests that crash upstreams, or None.
         retry_budgets: Budgets by pool, or None for no budget.
-        decisions: Where decisions are kept.
-        rng: Jitter of the pauses between attempts.
+        decisions: Store of decision records.
+        rng: Random source of the backoff's jitter.
         settings: Times and sizes.
         pacer: Sets the pause between two pieces of a stream.
         open_attempts: Number of attempts in progress, by upstream.
@@ -131,11 +133,11 @@
     )
 
     def in_progress(self, upstream: str) -> int:
-        """Returns how many attempts this router has at an upstream."""
+        """Returns this router's number of attempts at an upstream."""
         return self.open_attempts[upstream]
 
     def budget(self, pool: str) -> retries.RetryBudget | None:
-        """Returns the retry budget of a pool, None if there is no bound."""
+        """Returns the retry budget of a pool, None if there is no limit."""
         if self.retry_budgets is None:
             return None
         budget = self.retry_budgets.get(pool)
@@ -145,5 +147,5 @@
         return budget
 
     def expected_answer_id(self, request_id: str) -> str:
-        """Returns what the id of a chat answer must hold."""
+        """Returns text that the id of a chat answer must contain."""
         return request_id if self.settings.answer_ids_contain_request_id else ''
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The path of each request through a router."""
+"""The path of a request through a router."""
 
 from __future__ import annotations
 
@@ -38,18 +38,17 @@
 
 
 class Dispatcher:
-    """Takes requests through rules, permits and attempts to an answer.
+    """Processes requests: rules, limits, permits, attempts, answer.
 
     Attributes:
         name: Id of this router.
         configurations: The accepted configuration.
         rules: Finds the rule of a request.
-        claims: The claims log, or None: then non-idempotent requests are
-            refused.
+        claims: The claims log. If None, non-idempotent requests are refused.
         limits: Limits of the customers, or None.
-        parts: The collaborators of the attempts.
+        components: Components of the request path.
         rule_limits: Limits that rules set.
-        in_progress: Requests that have not ended.
+        in_progress: Number of requests that have not ended.
     """
 
     def __init__(
@@ -89,11 +88,11 @@
         self.in_progress = 0
 
     async def dispatch(self, request: requests.Request) -> answers.Answer:
-        """Returns the answer to a request, its first piece already here.
+        """Returns the answer to a request once its first piece is received.
 
         Raises:
-            RequestError: There is none; it says what the caller may
-                conclude.
+            RequestError: There is no answer; the error tells the caller
+                whether the request may have run.
         """
         chat = chat_hash(request)
         decision = records.begin(request, chat)
@@ -119,7 +118,7 @@
         hop: spans.Hop,
         finish: Any,
     ) -> answers.Answer:
-        """Finds the rule and runs the request as it says."""
+        """Finds the rule of a request and runs the request by it."""
         revision = self.configurations.current()
         rule = self.find_rule(revision, request, decision)
         if self.limits is not None:
@@ -147,7 +146,7 @@
         request: requests.Request,
         decision: decisions.Decision,
     ) -> configuration.Rule:
-        """Returns the first rule that matches, if it does not reject."""
+        """Returns the first rule that matches; raises if it rejects."""
         rule = self.rules.match(revision, request)
         if rule is None:
             decision.revision = revision.number
@@ -158,7 +157,7 @@
         return rule
 
     def check_quarantine(self, request: requests.Request) -> int:
-        """Returns the fingerprint of a request that may be sent."""
+        """Returns a request's fingerprint; raises if it is quarantined."""
         quarantine = self.components.quarantine
         if quarantine is None:
             return 0
@@ -167,7 +166,7 @@
         return fingerprint
 
     def note_request(self, pool: str) -> None:
-        """Counts the traffic that the retry budget is a share of."""
+        """Counts a request in the retry budget of its pool."""
         budget = self.components.budget(pool)
         if budget is not None:
             budget.note_request()
@@ -182,8 +181,9 @@
                 'no claims log',
                 exchange.components.settings.retry_after_seconds,
             )
-        # a caller that goes away during the claim leaves it committed or not;
-        # going on to the outcome answers its next copy in either case
+        # if the caller disconnects during the claim, the claim may or may not
+        # be committed; continuing to an outcome answers the next copy of the
+        # request in both cases
         with trio.CancelScope(shield=True):
             claim = await self.claims.claim(
                 exchange.request.customer,
@@ -205,8 +205,8 @@
     ) -> bytes:
         """Runs a claimed request and records its outcome.
 
-        Shielded by its caller: without its outcome, the claim would leave
-        every further copy of the request unanswered.
+        Shielded from cancellation by the calling method: a claim without an
+        outcome would leave every further copy of the request unanswered.
         """
         outcome, status = errors.Outcome.UNKNOWN, None
         try:
@@ -229,7 +229,7 @@
         hop: spans.Hop,
         error: BaseException | None,
     ) -> None:
-        """Notes the end of a request."""
+        """Records the end of a request."""
         self.in_progress -= 1
         records.end(decision, request.arrived, error)
         hop.end(decision.error)
@@ -243,10 +243,11 @@
 
 
 def request_fingerprint(request: requests.Request) -> int:
-    """Returns the hash by which a request is known that crashes upstreams.
+    """Returns the hash that identifies a request for the quarantine.
 
-    A caller sends it again with other spaces, or streamed in place of whole:
-    of a chat request only what the engine works on counts.
+    A caller may send a request that crashes upstreams again with other
+    whitespace, or streamed instead of not: of a chat request only the fields
+    that the engine works on are hashed.
     """
     body = request.body
     if request.model is not None:
@@ -257,7 +258,7 @@
 def apply_rule(
     rule: configuration.Rule, request: requests.Request
 ) -> requests.Request:
-    """Returns the request with the model and adapter that the rule gives."""
+    """Returns the request with the model and adapter set by the rule."""
     then = rule.then
     if request.model is None or (then.model is None and then.adapter is None):
         return request
@@ -272,10 +273,10 @@
 def answer_headers(
     start: interfaces.AnswerStart, router: str, length: int | None
 ) -> dict[str, str]:
-    """Returns the headers that go to the caller."""
+    """Returns the headers sent to the caller."""
     headers = dict(start.headers)
-    # the length is that of the bytes passed on, which a further attempt
-    # may make another one
+    # the upstream's length is dropped: a further attempt may change the
+    # number of relayed bytes
     headers.pop(CONTENT_LENGTH, None)
     if length is not None:
         headers[CONTENT_LENGTH] = str(length)
@@ -288,10 +289,10 @@
     recorded: claims_state.Recorded,
     finish: Any,
 ) -> answers.Answer:
-    """Returns the answer to a further copy of a request that has run.
+    """Returns the answer to a further copy of a request that ran.
 
     Raises:
-        RequestError: The first copy did not end well.
+        RequestError: The first copy failed or its outcome is unknown.
     """
     at_most_once.replays.inc({})
     at_most_once.check_recorded(recorded)
--- a/lavenderbend/coordination/dispatch/exchange.py
+++ b/lavenderbend/coordination/dispatch/exchange.py
@@ -1,4 +1,4 @@
-"""The attempts of one request, until its answer is whole or given up."""
+"""The attempts of one request, until its answer is complete or failed."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
     """The attempts of one request.
 
     Attributes:
-        parts: The collaborators.
-        request: What is sent, after the rule's changes.
+        components: Components of the request path.
+        request: The request as changed by the rule.
         rule: The first rule that matched.
-        decision: What is kept of it.
-        fingerprint: Names the request in quarantine.
+        decision: The decision record of the request.
+        fingerprint: Identifies the request in the quarantine.
         chat: Hash of customer and chat key, 0 for none.
         span: The span of the request.
-        deadline: Router clock at which the first byte must have come.
-        check: What was passed on of a streamed answer.
+        deadline: Router clock by which the first byte must be received.
+        check: Checks of the streamed events relayed so far.
         attempt: The current attempt.
-        avoid: Upstreams that were tried.
-        tries: Attempts made.
+        avoid: Upstreams of earlier attempts.
+        attempt_count: Number of attempts made.
         dispatched: Whether an upstream may have started the request.
-        passed_on: Whether the caller has any byte of the answer.
-        headers: What upstreams are told beside the caller's headers.
+        answer_begun: Whether the caller got any byte of the answer.
+        headers: Headers added to those of the caller.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         """Returns a permit for the next attempt.
 
         Raises:
-            RequestError: There is none; the outcome is not run only if no
+            RequestError: There is none. The outcome is 'not run' only if no
                 earlier attempt was dispatched.
         """
         permit_request = interfaces.PermitAsk(
@@ -99,23 +99,23 @@
         try:
             return await self.components.admission.acquire(permit_request)
         except errors.RequestError as exc:
-            # an earlier attempt may have run: "not run" would be untrue,
-            # and the caller would do the work a second time
+            # an earlier attempt may have run: "not run" would be wrong, and
+            # the caller would send the request a second time
             if self.dispatched:
                 raise errors.OutcomeUnknown(
-                    f'an attempt broke off and no other was possible: {exc}'
+                    f'an attempt failed and no other was possible: {exc}'
                 ) from exc
             raise
 
     def recheck_quarantine(self, permit: interfaces.Permit) -> None:
-        """Checks the quarantine once more, after the wait for a permit.
+        """Checks the quarantine again after the wait for a permit.
 
-        Copies of a request that kills engines may wait for permits when it
-        is quarantined; sent all the same, each would kill one more.
+        Copies of a request that crashes engines may be waiting for permits
+        when it is quarantined. If they were sent, each would crash one more.
 
         Raises:
             RequestQuarantined: No attempt of the request has been sent.
-            OutcomeUnknown: One has.
+            OutcomeUnknown: An attempt has been sent.
         """
         quarantine = self.components.quarantine
         if quarantine is None:
@@ -126,12 +126,12 @@
             self.components.admission.release(permit, type(exc).__name__)
             if self.dispatched:
                 raise errors.OutcomeUnknown(
-                    f'an attempt broke off and no other may be made: {exc}'
+                    f'an attempt failed and no other is allowed: {exc}'
                 ) from exc
             raise
 
     def suspect(self) -> bool:
-        """Returns whether an upstream died while it ran the request."""
+        """Returns whether an upstream crashed while it ran the request."""
         quarantine = self.components.quarantine
         return quarantine is not None and quarantine.suspect(self.fingerprint)
 
@@ -179,7 +179,7 @@
     async def run_step(
         self, attempt: attempts.Attempt, step: Awaitable[bytes | None]
     ) -> bytes | None:
-        """Runs a step of an attempt and settles the attempt if it ends."""
+        """Runs a step of an attempt and finishes the attempt at its end."""
         try:
             piece = await step
         except BaseException as exc:
@@ -192,7 +192,7 @@
     async def finish_failed(
         self, attempt: attempts.Attempt, error: BaseException
     ) -> None:
-        """Settles an attempt that failed or was given up."""
+        """Finishes an attempt that failed or was cancelled."""
         if isinstance(error, errors.UpstreamError):
             await attempt.finish(type(error).__name__, error)
         elif isinstance(error, trio.Cancelled):
@@ -201,19 +201,19 @@
             await attempt.finish(type(error).__name__, None)
 
     async def finish_complete(self, attempt: attempts.Attempt) -> None:
-        """Settles an attempt whose answer is whole."""
+        """Finishes an attempt whose answer is complete."""
         await attempt.finish(attempts.COMPLETE, None)
         if self.components.quarantine is not None:
             self.components.quarantine.survived(self.fingerprint)
 
     async def next_piece(self) -> bytes | None:
-        """Returns more of the answer, None when the caller has all of it.
+        """Returns the next piece of the answer, None at its end.
 
         Raises:
             RequestError: The answer cannot be completed.
         """
         attempt = self.attempt
-        # once for each streamed chunk: as few calls deep as can be
+        # called for each streamed chunk, hence few nested calls
         try:
             piece = await attempt.body.next_piece()
         except errors.UpstreamError as exc:
@@ -227,7 +227,7 @@
         return piece
 
     def buffered_length(self, first: bytes | None) -> int | None:
-        """Returns the length of the answer if it was held until whole."""
+        """Returns the length of an answer that was buffered, else None."""
         if self.request.method == 'HEAD':
             return None
         if not isinstance(self.attempt.body, bodies.BufferedBody):
@@ -235,13 +235,13 @@
         return len(first or b'')
 
     async def abandon(self) -> None:
-        """Ends the current attempt because its caller is gone."""
+        """Finishes the current attempt because the caller disconnected."""
         if self.attempt is not None:
             await self.attempt.finish(attempts.CALLER_GONE, None)
 
 
 def upstream_headers(rule: configuration.Rule, chat: int) -> dict[str, str]:
-    """Returns the headers by which an upstream knows priority and chat."""
+    """Returns the headers that tell an upstream the priority and chat."""
     headers = {PRIORITY: str(int(rule.then.priority))}
     if chat:
         headers[CHAT] = f'{chat:016x}'
--- a/lavenderbend/coordination/dispatch/pacing.py
+++ b/lavenderbend/coordination/dispatch/pacing.py
@@ -1,4 +1,4 @@
-"""Room for short calls beside streams: chunks are gathered under load."""
+"""Pacing of streams: under load, chunks are relayed in fewer pieces."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     from collections.abc import Callable
     import random
 
-# share by which an interval is shorter or longer
+# largest fraction by which an interval is shortened or lengthened
 JITTER_FRACTION = 0.5
 
 interval_gauge = metrics.gauge(
@@ -24,17 +24,18 @@
 
 @attrs.frozen
 class PacingSettings:
-    """When and how far streams give way.
+    """Thresholds and steps of the pacing.
 
     Attributes:
-        enabled: Whether streams give way at all.
-        low: Share of one core below which the interval shrinks.
-        high: Share of one core above which it grows.
-        sample_seconds: Time over which the share is taken.
-        step_seconds: Least growth.
-        max_seconds: Longest interval; with it a stream still gets several
-            tokens' worth of pieces within the time between two tokens that
-            readers accept.
+        enabled: Whether streams are paced.
+        low: Processor usage, as a share of one core, below which the
+            interval is shortened.
+        high: Usage above which it is lengthened.
+        sample_seconds: Time over which the usage is measured.
+        step_seconds: Minimum increase of the interval.
+        max_seconds: Longest interval. With it a stream still relays several
+            pieces within the longest time between two tokens that readers
+            accept.
     """
 
     enabled: bool = True
@@ -46,19 +47,19 @@
 
 
 class RelayPacer:
-    """Sets the least time between two pieces of one stream.
+    """Sets the minimum time between two pieces of one stream.
 
-    A process has one thread. Streams that bring a token every few
-    milliseconds fill it, and each step of an instant call then waits behind
-    a chunk of every stream. A stream that pauses a little finds several
-    tokens at its next read and passes them on at the price of one.
+    A process has one thread. Streams with a token every few milliseconds
+    saturate it, and each step of an instant call then waits for a chunk of
+    every stream. A stream that pauses briefly finds several tokens at its
+    next read and relays them at the cost of one.
 
     Attributes:
-        rng: Spreads the pieces of streams over time.
-        settings: When and how far streams give way.
+        rng: Random source of the jitter.
+        settings: Thresholds and steps.
         interval: Seconds between two pieces, 0 for no pause.
         sampled_at: Wall clock of the last sample.
-        used: Processor seconds at the last sample.
+        cpu_seconds: Processor seconds at the last sample.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         self.cpu_seconds = cpu_clock()
 
     def pause_seconds(self, last: float) -> float:
-        """Returns how long a stream with bytes to pass on should wait.
+        """Returns the seconds that a stream with bytes to relay should wait.
 
         Args:
             last: Wall clock of its last piece, 0 for none.
@@ -87,13 +88,13 @@
             self.update_interval(now)
         if not self.interval:
             return 0.0
-        # streams that once passed on a piece together would do so for ever,
-        # and an instant call would wait behind all of them at once
+        # without jitter, streams that once relayed a piece at the same time
+        # would stay synchronized, and an instant call would wait for all
         jitter = 1.0 + JITTER_FRACTION * (2.0 * self.rng.random() - 1.0)
         return last + self.interval * jitter - now
 
     def update_interval(self, now: float) -> None:
-        """Adapts the interval to the share of the core in use."""
+        """Adapts the interval to the processor usage."""
         cpu_seconds = self.cpu_clock()
         share = (cpu_seconds - self.cpu_seconds) / (now - self.sampled_at)
         self.sampled_at = now
--- a/lavenderbend/coordination/dispatch/records.py
+++ b/lavenderbend/coordination/dispatch/records.py
@@ -1,4 +1,4 @@
-"""What is kept and counted of each request."""
+"""Decision record and metrics of each request."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def begin(request: requests.Request, chat: int) -> decisions.Decision:
-    """Returns the record of a request that has just arrived."""
+    """Returns the decision record of a request that just arrived."""
     return decisions.Decision(
         id=request.id,
         customer=request.customer,
@@ -63,7 +63,7 @@
     revision: configuration.Revision,
     rule: configuration.Rule,
 ) -> None:
-    """Notes which rule matched."""
+    """Records which rule matched."""
     decision.revision = revision.number
     decision.rule = rule.name
     decision.pool = rule.then.pool or ''
@@ -75,7 +75,7 @@
     arrived: float,
     error: BaseException | None,
 ) -> None:
-    """Notes how the request ended and counts it."""
+    """Records the outcome of a request and counts it."""
     decision.duration = trio.current_time() - arrived
     if error is None:
         decision.outcome = errors.Outcome.COMPLETE.value
--- a/lavenderbend/coordination/dispatch/recovery.py
+++ b/lavenderbend/coordination/dispatch/recovery.py
@@ -1,4 +1,4 @@
-"""What follows when an attempt fails."""
+"""Recovery from a failed attempt: retry, resume or error."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from lavenderbend.coordination.dispatch import exchange as exchange_module
     from lavenderbend.state import upstreams
 
-# nothing of the request can have run
+# errors after which the request cannot have run
 NOT_STARTED = (errors.UpstreamUnreachable, errors.UpstreamRefused)
 
 retries_counter = metrics.counter(
@@ -29,7 +29,7 @@
 async def note_failure(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> None:
-    """Notes what a failed attempt means for the outcome."""
+    """Updates the outcome and the quarantine after a failed attempt."""
     if not isinstance(error, NOT_STARTED):
         exchange.dispatched = True
     quarantine = exchange.components.quarantine
@@ -56,8 +56,8 @@
 ) -> bool:
     """Returns whether the upstream that lost a request has crashed.
 
-    A connection may be lost for other reasons; a process that still goes by
-    the same instance id has not crashed, and its request is not to blame.
+    A connection may be lost for other reasons. A process that still has the
+    same instance id has not crashed, and the request is not the cause.
     """
     with trio.move_on_after(components.settings.crash_check_seconds):
         try:
@@ -73,12 +73,12 @@
 def may_retry_now(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> bool:
-    """Returns whether one more attempt is allowed."""
+    """Returns whether another attempt is allowed."""
     then = exchange.rule.then
     if exchange.attempt_count > then.retries:
         return False
-    # no byte has left, so that another attempt is the first to be sent; it
-    # loads no upstream twice and needs no budget
+    # no byte was sent, so another attempt is the first one that is; it loads
+    # no upstream twice and needs no budget
     if isinstance(error, errors.UpstreamUnreachable):
         return True
     if not then.idempotent or not retries.may_retry(exchange.request.headers):
@@ -95,17 +95,19 @@
 def final_error(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> errors.RequestError:
-    """Returns what the caller is told when no attempt is left."""
+    """Returns the error for the caller when no attempt is left."""
     retry_after = exchange.components.settings.retry_after_seconds
     if exchange.dispatched:
-        return errors.OutcomeUnknown(f'the answer is not whole: {error}')
-    return errors.NoUpstream(f'no upstream took it: {error}', retry_after)
+        return errors.OutcomeUnknown(f'the answer is incomplete: {error}')
+    return errors.NoUpstream(
+        f'no upstream accepted the request: {error}', retry_after
+    )
 
 
 async def prepare_retry(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> None:
-    """Returns when another attempt may be made.
+    """Waits for the backoff before another attempt.
 
     Raises:
         RequestError: No other attempt is allowed.
@@ -129,13 +131,13 @@
 async def continue_answer(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> bytes | None:
-    """Goes on with an answer of which the caller already has a part.
+    """Continues an answer of which the caller already has a part.
 
     Returns:
-        The next piece, None when the answer is whole.
+        The next piece, None when the answer is complete.
 
     Raises:
-        RequestError: It cannot be completed.
+        RequestError: The answer cannot be completed.
     """
     while True:
         if not can_continue(exchange, error):
@@ -164,7 +166,7 @@
 
 
 def resume_headers(exchange: exchange_module.Exchange) -> dict[str, str]:
-    """Returns the headers that ask an upstream to go on."""
+    """Returns the headers that ask an upstream to resume."""
     if not exchange.check.numbered:
         return {}
     return {attempts.RESUME_OFFSET: str(exchange.check.next_offset)}
@@ -173,7 +175,7 @@
 def allow_same_upstream(
     exchange: exchange_module.Exchange, error: errors.UpstreamError
 ) -> None:
-    """Lets the upstream that holds the run be chosen again."""
+    """Allows the upstream that ran the request to be chosen again."""
     broke_off = isinstance(error, errors.UpstreamBroke)
     if broke_off and exchange.check.numbered and exchange.avoid:
         exchange.avoid.pop()
@@ -186,17 +188,19 @@
 
     Raises:
         UpstreamBroke: The answer does not continue the one so far.
-        AnswerContradicts: It cannot be compared with the one so far.
+        AnswerContradicts: The answer cannot be compared with the one so far.
     """
     if not exchange.answer_begun:
         exchange.check.continue_from_start()
         return
     if not isinstance(attempt.body, bodies.StreamBody):
-        raise errors.UpstreamBroke('the upstream did not go on')
+        raise errors.UpstreamBroke('the upstream did not resume the stream')
     echo = attempt.answer.start.headers.get(attempts.RESUME_OFFSET)
     if exchange.check.numbered and echo == str(exchange.check.next_offset):
         exchange.check.continue_at_offset()
         return
     if not exchange.check.comparable:
-        raise errors.AnswerContradicts('the answer cannot be compared')
+        raise errors.AnswerContradicts(
+            'the answer cannot be compared with the relayed part'
+        )
     exchange.check.continue_from_start()
--- a/lavenderbend/coordination/dispatch/rule_limits.py
+++ b/lavenderbend/coordination/dispatch/rule_limits.py
@@ -1,4 +1,4 @@
-"""The limit that a rule sets for each customer."""
+"""Request rate limits that rules set for each customer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from lavenderbend.coordination import interfaces
     from lavenderbend.state import configuration
 
-# what may come at once, in seconds of the rate
+# burst, in seconds of the rate
 BURST_SECONDS = 1.0
 MAX_BUCKETS = 10_000
 
@@ -27,11 +27,11 @@
 
 @attrs.define
 class Bucket:
-    """Tokens of one customer under one rule.
+    """Token bucket of one customer under one rule.
 
     Attributes:
-        tokens: Requests that may come now.
-        at: Router clock of that figure.
+        tokens: Tokens available at `refilled_at`, one per request.
+        refilled_at: Router clock of the last refill.
     """
 
     tokens: float
@@ -39,15 +39,16 @@
 
 
 class RuleLimits:
-    """Counts requests by rule and customer.
+    """Limits requests by rule and customer.
 
-    Each router grants an even part of the limit: requests of one customer
-    come in by all routers alike, since a balancer spreads them. Through a
-    single router a customer gets that part only.
+    Each router grants an equal share of the limit, because a balancer
+    distributes the requests of a customer evenly over all routers. A customer
+    that uses a single router gets that share only.
 
     Attributes:
-        membership: Says how many routers there are.
-        buckets: By rule and customer, least recently used first.
+        membership: Gives the number of routers.
+        buckets: Token buckets by rule and customer, least recently used
+            first.
     """
 
     def __init__(self, membership: interfaces.Membership) -> None:
@@ -57,7 +58,7 @@
         )
 
     def check(self, rule: configuration.Rule, customer: str) -> None:
-        """Counts a request.
+        """Takes a token for a request.
 
         Raises:
             CustomerOverLimit: The customer is over the rule's limit.
@@ -76,12 +77,12 @@
             return
         refused.inc({'rule': rule.name, 'customer': customer})
         raise errors.CustomerOverLimit(
-            f'{customer} is over the limit of the rule {rule.name}',
+            f'{customer} is over the limit of rule {rule.name}',
             retry_after=(1.0 - bucket.tokens) / rate,
         )
 
     def bucket(self, key: tuple[str, str], capacity: float) -> Bucket:
-        """Returns the bucket of a rule and customer."""
+        """Returns the token bucket of a rule and customer."""
         bucket = self.buckets.get(key)
         if bucket is None:
             bucket = Bucket(capacity, trio.current_time())
--- a/lavenderbend/coordination/leases.py
+++ b/lavenderbend/coordination/leases.py
@@ -1,4 +1,4 @@
-"""A lease in the key-value service, by the holder's own clock."""
+"""A lease in the key-value service, timed by the holder's clock."""
 
 from __future__ import annotations
 
@@ -23,21 +23,22 @@
 
 
 class Lease:
-    """Held by one router at a time, as far as clocks run alike.
+    """A lease held by one router at a time if clocks run at the same rate.
 
-    The holder counts from before it asked, and less a margin: it stops
-    believing before the service lets the lease lapse. A pause of the holder
-    can still come between its look at the clock and what it does next;
-    against that there is the fencing number.
+    The holder counts the term from before its request and subtracts a
+    margin, so that it considers the lease lost before the service expires
+    it. The holder may still be paused between checking the clock and its
+    next action; the fencing token protects against that.
 
     Attributes:
         store: The key-value service.
-        key: Key that stands while the lease is held.
+        key: Key that exists while the lease is held.
         name: Id of this router.
-        seconds: Time granted.
-        margin: Seconds by which the holder stops earlier.
-        fencing: Grows with each holder; 0 while not held.
-        until: Clock up to which the lease is surely held.
+        seconds: Term of the lease.
+        margin: Seconds by which the holder's term ends earlier.
+        lease_id: Id of the lease at the service.
+        fencing: Fencing token, which grows with each holder; 0 if not held.
+        held_until: Router clock up to which the lease is certainly held.
     """
 
     def __init__(
@@ -60,16 +61,16 @@
         self.held_until = 0.0
 
     def seconds_left(self) -> float:
-        """Returns the seconds for which the lease is surely held."""
+        """Returns the seconds for which the lease is certainly held."""
         if not self.fencing:
             return 0.0
         return max(0.0, self.held_until - trio.current_time())
 
     def check(self, seconds: float = 0.0) -> None:
-        """Makes sure that the lease is held for so long.
+        """Checks that the lease is held for more than the given seconds.
 
         Raises:
-            LeaseLost: It is not.
+            LeaseLost: The lease is not held, or not for that time.
         """
         if self.seconds_left() <= seconds:
             raise errors.LeaseLost(f'{self.key}: {self.left():.1f} s left')
@@ -89,7 +90,7 @@
             await trio.sleep(self.rng.uniform(pause / 2, pause))
 
     async def try_acquire(self) -> bool:
-        """Tries once to get the lease; returns whether it is held."""
+        """Tries once to acquire the lease; returns whether it is held."""
         if (await self.store.read(self.key)).items:
             return False
         began = trio.current_time()
@@ -98,20 +99,20 @@
         try:
             await self.store.create(self.key, value, lease)
         except errors.KeyValueUncertain:
-            # it may be held after all: the read below tells
+            # the key may have been created: the read below shows that
             pass
         stored = await self.store.read(self.key)
         if not stored.items or stored.items[0].value != value:
             await self.store.revoke_lease(lease)
             return False
         self.lease_id = lease
-        # store revisions only grow, so a later holder's is larger
+        # store revisions only grow, so a later holder's token is larger
         self.fencing = stored.items[0].create_revision
         self.held_until = began + self.seconds - self.margin
         return self.seconds_left() > 0
 
     async def renew_until_lost(self) -> None:
-        """Renews the lease; returns when it is lost."""
+        """Renews the lease until it is lost."""
         while self.seconds_left() > 0:
             pause = min(self.seconds / RENEWALS_PER_TERM, self.seconds_left())
             await trio.sleep(self.rng.uniform(pause / 2, pause))
@@ -129,14 +130,14 @@
         self.note_lost()
 
     def note_lost(self) -> None:
-        """Stops believing that the lease is held."""
+        """Marks the lease as not held."""
         if self.fencing:
             logs.change('lease_lost', key=self.key, fencing=self.fencing)
         self.fencing = 0
         self.held_until = 0.0
 
     async def release(self) -> None:
-        """Gives the lease up, so that another router need not wait."""
+        """Revokes the lease, so that another router need not wait."""
         lease, self.lease_id = self.lease_id, 0
         self.note_lost()
         try:
--- a/tests/path_fakes.py
+++ b/tests/path_fakes.py
@@ -1,4 +1,4 @@
-"""The request path on loopback, with small fakes in place of the fleet."""
+"""The request path on loopback, with fakes in place of the fleet."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 CHAT_PATH = '/v1/chat/completions'
 
 
-def hashed(credential: str, salt: str = 'salt') -> str:
+def hashed_credential(credential: str, salt: str = 'salt') -> str:
     digest = hashlib.sha256((salt + credential).encode()).hexdigest()
     return f'{salt}${digest}'
 
 
-def document(**then: Any) -> configuration.Configuration:
+def make_configuration(**then: Any) -> configuration.Configuration:
     chat = configuration.Rule(
         'chats',
         configuration.Then(pool='engines', **then),
@@ -63,20 +63,20 @@
         configuration.Then(pool='services'),
         configuration.When(path=('/alerts/*', '/deliveries/*')),
     )
-    customer = configuration.Customer('corte', (hashed(CREDENTIAL),))
+    customer = configuration.Customer('corte', (hashed_credential(CREDENTIAL),))
     return configuration.Configuration(
         rules=(chat, once, closed, plain), customers=(customer,)
     )
 
 
 class FakeConfigurations(interfaces.Configurations):
-    def __init__(self, item: configuration.Configuration | None) -> None:
-        self.item = item
+    def __init__(self, document: configuration.Configuration | None) -> None:
+        self.document = document
 
     def current(self) -> configuration.Revision:
-        if self.item is None:
+        if self.document is None:
             raise errors.NoConfiguration('none yet', 1.0)
-        return configuration.Revision(1, 'digest', self.item)
+        return configuration.Revision(1, 'digest', self.document)
 
     async def wait_beyond(self, number: int) -> configuration.Revision:
         await trio.sleep_forever()
@@ -106,31 +106,31 @@
 
 
 class FakeAdmission(interfaces.Admission):
-    """Gives permits in order, avoiding what was tried where it can."""
+    """Grants permits in order, and prefers upstreams not yet tried."""
 
     def __init__(self, vms: list[upstreams.Vm]) -> None:
         self.vms = vms
         self.numbers = itertools.count()
         self.open: dict[str, interfaces.Permit] = {}
-        self.asks: list[interfaces.PermitAsk] = []
+        self.permit_requests: list[interfaces.PermitAsk] = []
         self.results: list[str] = []
         self.empty = trio.Event()
-        self.only_fresh = False
+        self.only_untried = False
 
     async def acquire(self, ask: interfaces.PermitAsk) -> interfaces.Permit:
         await trio.lowlevel.checkpoint()
-        self.asks.append(ask)
+        self.permit_requests.append(ask)
         kind = upstreams.UpstreamKind.ENGINE
         if ask.pool == 'services':
             kind = upstreams.UpstreamKind.SERVICE
-        fits = [vm for vm in self.vms if vm.kind is kind]
-        fresh = [vm for vm in fits if vm.id not in ask.avoid]
-        if not fresh and not self.only_fresh:
-            fresh = fits
-        if not fresh:
+        matching = [vm for vm in self.vms if vm.kind is kind]
+        untried = [vm for vm in matching if vm.id not in ask.avoid]
+        if not untried and not self.only_untried:
+            untried = matching
+        if not untried:
             raise errors.NoUpstream('no upstream', 1.0)
         permit = interfaces.Permit(
-            f'p/{next(self.numbers)}', fresh[0], 'router', 'first choice'
+            f'p/{next(self.numbers)}', untried[0], 'router', 'first choice'
         )
         self.open[permit.id] = permit
         return permit
@@ -142,13 +142,13 @@
             self.empty.set()
             self.empty = trio.Event()
 
-    async def all_released(self) -> None:
+    async def wait_all_released(self) -> None:
         if self.open:
             await self.empty.wait()
 
 
 class FakeClaims:
-    """The claims log of one router, in memory."""
+    """An in-memory claims log of one router."""
 
     def __init__(self) -> None:
         self.outcomes: dict[tuple[str, str], tuple[Any, int]] = {}
@@ -219,7 +219,7 @@
 
 @attrs.define
 class Path:
-    """The whole path with its parts, for tests to look at."""
+    """The request path and its components."""
 
     engines: list[engine_app.Engine]
     services: list[plain_service.PlainService]
@@ -278,7 +278,7 @@
         for index, service in enumerate(made_services):
             port = await nursery.start(plain_service.serve, HOST, 0, service)
             vms.append(vm(f's{index}', port, upstreams.UpstreamKind.SERVICE))
-        configurations = FakeConfigurations(document(**then))
+        configurations = FakeConfigurations(make_configuration(**then))
         admission = FakeAdmission(vms)
         membership = FakeMembership()
         membership.engines = {
@@ -335,7 +335,7 @@
 
 async def until(predicate: Any) -> None:
     with trio.fail_after(30):
-        # the stand-ins have no event for what tests wait for
+        # the stand-ins have no event for the awaited conditions
         while not predicate():  # noqa: ASYNC110
             await trio.sleep(0.005)
 
--- a/tests/test_coordination/test_dispatch_faults.py
+++ b/tests/test_coordination/test_dispatch_faults.py
@@ -1,4 +1,4 @@
-"""Answer faults of upstreams, each played by a stand-in over sockets."""
+"""Faulty answers of upstreams, simulated by stand-ins over sockets."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def read_stream(path, body):
-    """Returns text, whether the terminator came, error data and head."""
+    """Returns text, whether it was terminated, error data and response."""
     parser = sse.Parser(1024 * 1024)
     texts, done, error = [], False, None
     async with path.client.stream(
@@ -58,7 +58,7 @@
 
 
 def limits_for(kind):
-    """Returns limits that do not take a busy machine for a stall."""
+    """Returns limits under which a busy machine causes no stall timeout."""
     seconds = 1.0 if kind == 'stall' else 20.0
     return http_limits.AnswerLimits(stall_seconds=seconds)
 
@@ -69,10 +69,10 @@
 
 
 @pytest.mark.parametrize('kind', STREAM_FAULTS)
-async def test_one_fault_leaves_the_stream_whole(kind):
-    # A clerk streams a summary while one engine misbehaves once: it ends
-    # early, mixes in another office's events, sends events twice or out of
-    # order, goes silent. The clerk must see the one right text, once.
+async def test_stream_is_complete_after_one_fault(kind):
+    # One engine has one fault: the stream ends early, stalls, contains
+    # events of another request, or has events twice or out of order. The
+    # caller must still get the complete text exactly once.
     async with path_fakes.running(answers=limits_for(kind)) as path:
         inject(path, kind)
         body = path_fakes.chat_body(stream=True)
@@ -86,10 +86,10 @@
 
 @pytest.mark.parametrize('after', [0, 1, 7, 8, 9])
 @pytest.mark.parametrize('kind', ['short', 'cut', 'garbage', 'swap'])
-async def test_fault_at_any_event_leaves_the_stream_whole(kind, after):
-    # The same as above with the fault at the first event, around the last
-    # token, at the finish reason and just before the terminator: the ends
-    # are where a text would lose or double a word.
+async def test_stream_is_complete_after_a_fault_at_any_event(kind, after):
+    # As above, with the fault at the first event, around the last token, at
+    # the finish reason and just before the terminator, where text is most
+    # likely to be lost or duplicated.
     async with path_fakes.running() as path:
         inject(path, kind, after)
         body = path_fakes.chat_body(stream=True)
@@ -101,25 +101,27 @@
 
 
 @pytest.mark.parametrize('kind', STREAM_FAULTS[:8])
-async def test_lasting_fault_never_looks_whole(kind):
-    # Every engine has the fault and no further attempt is allowed. What the
-    # clerk gets must not look like a whole summary: an error event, and a
-    # connection that breaks off; or a problem, if nothing was sent yet.
+async def test_persistent_fault_never_looks_like_a_complete_stream(kind):
+    # Every engine has the fault and no retry is allowed. The caller must not
+    # mistake the answer for a complete one: it gets an error event and an
+    # aborted connection, or a problem document if nothing was sent yet.
     async with path_fakes.running(
         engines=1, answers=limits_for(kind), retries=0
     ) as path:
         inject(path, kind)
         body = path_fakes.chat_body(stream=True)
         text, done, error, response = await read_stream(path, body)
-    whole = engine_texts.answer_text(response.headers['x-request-id'], body)
+    complete_text = engine_texts.answer_text(
+        response.headers['x-request-id'], body
+    )
     if kind == 'duplicate':
-        # numbered events need no further attempt to be told apart
+        # duplicates of numbered events are dropped without a retry
         assert done
-        assert text == whole
+        assert text == complete_text
         return
     assert not done
-    assert whole.startswith(text)
-    assert text != whole
+    assert complete_text.startswith(text)
+    assert text != complete_text
     if response.status_code == 200:
         assert error['outcome'] == 'unknown'
         assert error['request_id'] == response.headers['x-request-id']
@@ -129,9 +131,9 @@
 
 
 @pytest.mark.parametrize('kind', WHOLE_FAULTS)
-async def test_one_fault_leaves_a_whole_answer_whole(kind):
-    # The same for an answer that is not streamed: nothing of the broken
-    # first attempt reaches the caller, who gets the second one's answer.
+async def test_unstreamed_answer_is_complete_after_one_fault(kind):
+    # An answer that is not streamed: no byte of the failed first attempt
+    # reaches the caller, who gets the answer of the second one.
     async with path_fakes.running() as path:
         inject(path, kind)
         body = path_fakes.chat_body()
@@ -140,15 +142,15 @@
     text = response.json()['choices'][0]['message']['content']
     assert text == engine_texts.answer_text(request_id, body)
     attempts = path.last_decision().attempts
-    assert [item.result for item in attempts][-1] == 'complete'
+    assert [attempt.result for attempt in attempts][-1] == 'complete'
     assert len(attempts) == 2
 
 
 @pytest.mark.parametrize('kind', ['wrong_echo', 'garbage', 'short_body'])
-async def test_lasting_fault_of_a_whole_answer_is_a_problem(kind):
-    # The only engine answers with somebody else's answer, with noise or
-    # with half a body, and there is no other attempt: the caller gets a
-    # problem that says the outcome is unknown, and no byte of the answer.
+async def test_persistent_fault_of_an_unstreamed_answer_is_a_problem(kind):
+    # The only engine returns the answer of another request, garbage or half
+    # a body, and no retry is allowed. The caller gets a problem document with
+    # the outcome "unknown", and no byte of the answer.
     async with path_fakes.running(engines=1, retries=0) as path:
         inject(path, kind)
         response = await path.client.post(
@@ -162,15 +164,15 @@
 
 
 async def test_refused_everywhere_is_not_run():
-    # Every engine refuses before it starts. The caller is told that nothing
-    # was run and when to come back, and the engines' own records agree.
+    # Every engine refuses before it starts. The caller gets the outcome
+    # "not run" with a Retry-After, and the engines' records confirm it.
     async with path_fakes.running(engines=2) as path:
         for index in range(2):
             inject(path, 'refuse', count=5, engine=index)
         response = await path.client.post(
             path_fakes.CHAT_PATH, json=path_fakes.chat_body()
         )
-        ran = [item for engine in path.engines for item in engine.log.records]
+        ran = [run for engine in path.engines for run in engine.log.records]
     assert response.status_code == 503
     assert response.json()['outcome'] == 'not-run'
     assert response.headers['retry-after'] == '1'
@@ -178,10 +180,10 @@
     assert 'e0' in path.membership.draining
 
 
-async def test_refused_after_a_broken_attempt_is_not_called_not_run():
+async def test_refusal_after_a_failed_attempt_is_not_reported_as_not_run():
     # The first engine loses the connection after it began, the other one
-    # refuses. Told "not run", the caller would send the work again though
-    # the first engine may have done it.
+    # refuses. With "not run" the caller would send the request again although
+    # the first engine may have run it.
     async with path_fakes.running(engines=2) as path:
         inject(path, 'cut', engine=0, count=9)
         inject(path, 'refuse', engine=1, count=9)
@@ -191,11 +193,11 @@
     assert response.json()['outcome'] == 'unknown'
 
 
-async def test_no_permit_after_a_broken_attempt_is_not_called_not_run():
-    # The same with admission in the second engine's place: it has no other
-    # upstream to give. Its own error says "not run", which is untrue by now.
+async def test_no_permit_after_a_failed_attempt_is_not_reported_as_not_run():
+    # The first attempt fails and admission has no other upstream. The error
+    # of admission says "not run", which is wrong after an attempt.
     async with path_fakes.running(engines=1) as path:
-        path.admission.only_fresh = True
+        path.admission.only_untried = True
         inject(path, 'cut')
         response = await path.client.post(
             path_fakes.CHAT_PATH, json=path_fakes.chat_body()
@@ -203,9 +205,9 @@
     assert response.json()['outcome'] == 'unknown'
 
 
-async def test_upstream_error_answer_is_passed_on_as_it_is():
-    # An engine answers 500 in good order: that is its whole answer, and the
-    # caller gets it rather than a second run.
+async def test_error_answer_of_an_upstream_is_relayed_unchanged():
+    # A complete answer with status 500 is relayed to the caller and is not
+    # retried.
     async with path_fakes.running() as path:
         inject(path, 'error')
         response = await path.client.post(
@@ -217,8 +219,8 @@
 
 
 async def test_poisoned_prompt_crashes_at_most_two_engines():
-    # One request crashes each engine that runs it, and its caller sends it
-    # again. After two crashes it is refused and crashes nothing more.
+    # A request crashes each engine that runs it, and its caller sends it
+    # again. After two crashes it is refused and crashes no further engine.
     async with path_fakes.running(engines=4) as path:
         body = path_fakes.chat_body('this is poison', stream=True)
         first = await path.client.post(path_fakes.CHAT_PATH, json=body)
@@ -233,9 +235,9 @@
     assert before == after
 
 
-async def test_lost_connection_alone_is_no_crash():
-    # A switch resets a connection; the engine goes on under the same
-    # instance id. The request on it must not become a suspect.
+async def test_lost_connection_alone_is_not_a_crash():
+    # A connection is reset while the engine keeps running with the same
+    # instance id. The request must not be suspected of a crash.
     async with path_fakes.running() as path:
         inject(path, 'cut')
         response = await path.client.post(
@@ -246,8 +248,8 @@
 
 
 async def test_spent_retry_budget_stops_retries():
-    # A pool fails as a whole. Were each request tried again, the pool would
-    # get three times its load just then; the budget refuses.
+    # A whole pool fails. If every request were retried, the pool would get
+    # three times its load while it fails; the retry budget prevents that.
     async with path_fakes.running(engines=2) as path:
         for index in range(2):
             inject(path, 'cut_before_head', count=60, engine=index)
@@ -255,39 +257,39 @@
             await path.client.post(
                 path_fakes.CHAT_PATH, json=path_fakes.chat_body()
             )
-    attempts = sum(len(item.attempts) for item in path.decisions)
+    attempts = sum(len(decision.attempts) for decision in path.decisions)
     budget = path.budgets['engines']
     assert budget.denied > 0
     assert attempts == 20 + budget.granted
     assert attempts < 2 * 20
 
 
-async def test_quarantined_request_reaches_nothing():
-    # The request is already known to crash engines: it is refused as not
-    # run before any permit is asked for.
+async def test_quarantined_request_gets_no_permit():
+    # A request that is already quarantined is refused as "not run" before a
+    # permit is requested.
     async with path_fakes.running() as path:
-        path.dispatcher.check_quarantine = refuse
+        path.dispatcher.check_quarantine = raise_quarantined
         response = await path.client.post(
             path_fakes.CHAT_PATH, json=path_fakes.chat_body()
         )
     assert response.status_code == 422
-    assert path.admission.asks == []
+    assert path.admission.permit_requests == []
 
 
-def refuse(request):
+def raise_quarantined(request):
     raise errors.RequestQuarantined('it crashed upstreams', 60.0)
 
 
 async def test_request_quarantined_while_it_waits_is_not_sent():
-    # Copies of a request that kills engines wait for permits when it is
-    # quarantined. Each of them used to be sent when its permit came, and
-    # killed one more engine.
+    # Copies of a request that crashes engines wait for permits when it is
+    # quarantined. If each were sent when it got its permit, each would crash
+    # one more engine.
     async with path_fakes.running() as path:
         acquire = path.admission.acquire
 
         async def acquire_late(ask):
             permit = await acquire(ask)
-            path.quarantine.check = refuse_fingerprint
+            path.quarantine.check = raise_quarantined_fingerprint
             return permit
 
         path.admission.acquire = acquire_late
@@ -301,5 +303,5 @@
     assert path.admission.open == {}
 
 
-def refuse_fingerprint(fingerprint):
+def raise_quarantined_fingerprint(fingerprint):
     raise errors.RequestQuarantined('it crashed upstreams', 60.0)
--- a/tests/test_coordination/test_dispatch_limits.py
+++ b/tests/test_coordination/test_dispatch_limits.py
@@ -1,4 +1,4 @@
-"""Limits that rules set, deadlines, and spans of the request path."""
+"""Rate limits of rules, deadlines, and spans of the request path."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 )
 
 
-async def test_limit_of_a_rule_holds_over_the_fleet(autojump_clock):
-    # Two routers, four requests a second: each grants two a second, to each
-    # customer of its own.
+async def test_limit_of_a_rule_is_divided_over_the_fleet(autojump_clock):
+    # With two routers and a limit of four requests per second, each router
+    # grants two per second to each customer.
     limits = rule_limits.RuleLimits(path_fakes.FakeMembership())
     for _ in range(2):
         limits.check(LIMITED, 'corte')
@@ -35,7 +35,7 @@
     limits.check(LIMITED, 'corte')
 
 
-async def test_rule_without_a_limit_counts_nothing():
+async def test_rule_without_a_limit_needs_no_bucket():
     limits = rule_limits.RuleLimits(path_fakes.FakeMembership())
     limits.check(configuration.Rule('free', configuration.Then()), 'corte')
     assert not limits.buckets
@@ -49,12 +49,12 @@
             )
     assert response.status_code == 429
     assert response.headers['retry-after'] == '1'
-    assert len(path.admission.asks) == 1
+    assert len(path.admission.permit_requests) == 1
 
 
 async def test_engine_that_never_answers_ends_at_the_deadline():
-    # The engine takes the request and stays silent; the rule's timeout ends
-    # the wait, and nobody can say whether it ran.
+    # The engine accepts the request and never answers. The rule's timeout
+    # ends the wait, with the outcome "unknown".
     slow = {'step_seconds': 30.0}
     async with path_fakes.running(
         engines=1, engine_kwargs=slow, timeout=0.2, retries=0
@@ -67,9 +67,9 @@
     assert not path.admission.open
 
 
-async def test_caller_that_leaves_before_the_answer_is_recorded_as_gone():
-    # The caller gives up while the engine is silent: the decision says so,
-    # and the engine is told.
+async def test_caller_that_disconnects_before_the_answer_is_recorded_as_gone():
+    # The caller disconnects while the engine has not answered. The decision
+    # records that, and the request at the engine is cancelled.
     slow = {'step_seconds': 30.0}
     async with path_fakes.running(engines=1, engine_kwargs=slow) as path:
         async with trio.open_nursery() as nursery:
@@ -87,9 +87,9 @@
     await path.client.post(path_fakes.CHAT_PATH, json=path_fakes.chat_body())
 
 
-async def test_stream_longer_than_the_timeout_is_not_cut():
-    # The timeout bounds the wait for the answer's beginning; a long summary
-    # that keeps coming is not cut off by it.
+async def test_stream_longer_than_the_timeout_is_not_aborted():
+    # The timeout limits the wait for the beginning of the answer only, not
+    # the duration of a stream that is still arriving.
     async with path_fakes.running(
         engines=1, engine_kwargs={'step_seconds': 0.05}, timeout=1.0
     ) as path:
@@ -100,7 +100,7 @@
     assert response.text.endswith('data: [DONE]\n\n')
 
 
-def test_without_an_exporter_the_callers_context_is_passed_on():
+def test_without_an_exporter_the_callers_trace_context_is_forwarded():
     headers = {'traceparent': '00-' + '1' * 32 + '-' + '2' * 16 + '-01'}
     hop = spans.Hop('request', headers, trace.SpanKind.SERVER)
     assert hop.headers == headers
@@ -108,9 +108,9 @@
     hop.end('error')
 
 
-def test_each_hop_is_a_child_of_the_one_before(monkeypatch):
-    # An operator follows one request from the caller's own trace through
-    # the router to the engine: each hop names the one before as its parent.
+def test_each_span_is_a_child_of_the_previous_hop(monkeypatch):
+    # A request can be traced from the caller through the router to the
+    # engine: each span has the previous hop's span as its parent.
     exporter = in_memory_span_exporter.InMemorySpanExporter()
     provider = sdk_trace.TracerProvider()
     provider.add_span_processor(export.SimpleSpanProcessor(exporter))
--- a/tests/test_coordination/test_dispatch_pacing.py
+++ b/tests/test_coordination/test_dispatch_pacing.py
@@ -1,4 +1,4 @@
-"""Streams give way to short calls when the process is busy."""
+"""Pacing of streams in favour of short calls when the process is busy."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Machine:
-    """A clock and a processor that tests set."""
+    """A simulated clock and processor."""
 
     def __init__(self):
         self.now = 100.0
@@ -21,7 +21,7 @@
             pacer.pause_seconds(0.0)
 
 
-def make(**fields):
+def make_pacer(**fields):
     machine = Machine()
     settings = pacing.PacingSettings(low=0.3, high=0.5, **fields)
     pacer = pacing.RelayPacer(
@@ -33,48 +33,48 @@
     return machine, pacer
 
 
-def test_interval_grows_while_busy_up_to_its_bound():
-    # Sixty streams bring a token every 4 ms and fill the process; an
-    # office's alert would wait behind a chunk of each.
-    machine, pacer = make()
+def test_interval_grows_to_its_limit_while_busy():
+    # Sixty streams with a token every 4 ms saturate the process. Without
+    # pacing a short call would wait for a chunk of each.
+    machine, pacer = make_pacer()
     machine.run(pacer, 0.9)
     assert pacer.interval == pacer.settings.max_seconds
 
 
-def test_interval_vanishes_when_there_is_room():
-    machine, pacer = make()
+def test_interval_drops_to_zero_at_low_usage():
+    machine, pacer = make_pacer()
     machine.run(pacer, 0.9)
     machine.run(pacer, 0.1, seconds=3.0)
     assert pacer.interval == 0.0
     assert pacer.pause_seconds(machine.now) == 0.0
 
 
-def test_interval_holds_between_the_bounds():
-    machine, pacer = make()
+def test_interval_is_unchanged_between_the_thresholds():
+    machine, pacer = make_pacer()
     machine.run(pacer, 0.9)
     machine.run(pacer, 0.4)
     assert pacer.interval == pacer.settings.max_seconds
 
 
-def test_slow_streams_never_wait():
-    # A stream whose last piece is longer ago than the interval passes its
-    # token on at once.
-    machine, pacer = make()
+def test_slow_streams_do_not_wait():
+    # A stream whose last piece is older than the interval relays its token
+    # at once.
+    machine, pacer = make_pacer()
     machine.run(pacer, 0.9)
     assert pacer.pause_seconds(machine.now - 0.1) <= 0.0
 
 
-def test_waits_of_streams_differ():
-    # Streams that wait equally long would go on in step, all at once.
-    machine, pacer = make()
+def test_pauses_of_streams_are_jittered():
+    # Streams with equal pauses would stay synchronized and relay together.
+    machine, pacer = make_pacer()
     machine.run(pacer, 0.9)
-    waits = {pacer.pause_seconds(machine.now) for _ in range(20)}
+    pauses = {pacer.pause_seconds(machine.now) for _ in range(20)}
     longest = pacer.settings.max_seconds * (1 + pacing.JITTER_FRACTION)
-    assert len(waits) > 10
-    assert max(waits) <= longest
+    assert len(pauses) > 10
+    assert max(pauses) <= longest
 
 
-def test_pacing_can_be_switched_off():
-    machine, pacer = make(enabled=False)
+def test_pacing_can_be_disabled():
+    machine, pacer = make_pacer(enabled=False)
     machine.run(pacer, 0.9)
     assert pacer.interval == 0.0
--- a/tests/test_coordination/test_dispatch_relay.py
+++ b/tests/test_coordination/test_dispatch_relay.py
@@ -1,4 +1,4 @@
-"""The checks on a streamed answer, and answers continued by another run."""
+"""Checks of streamed answers and of answers continued by a retry."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 def stream(text, sizes, answer_id='a-r1', numbered=False):
-    """Returns the events of an answer cut into pieces of these sizes."""
+    """Returns the events of an answer split into pieces of these sizes."""
     events = []
     start = 0
     while start < len(text):
         size = sizes[len(events) % len(sizes)]
         offset = len(events) if numbered else None
-        part = text[start : start + size]
-        events.append(event(part, answer_id, offset=offset))
+        piece = text[start : start + size]
+        events.append(event(piece, answer_id, offset=offset))
         start += size
     last = event('', answer_id, 'stop', len(events) if numbered else None, {})
     return [*events, last, sse.TERMINATOR]
 
 
 def read(data):
-    """Returns text, ids, finish reasons and whether it is terminated."""
+    """Returns text, ids, number of finish reasons, whether terminated."""
     texts, ids, reasons, done = [], set(), 0, False
     for block in sse.Parser(10_000).feed(data):
         if block.done:
@@ -61,10 +61,10 @@
 
 @settings()
 @hypothesis.given(SIZES, SIZES, strategies.integers(0, 60))
-def test_further_run_adds_only_what_the_caller_lacks(first, second, cut):
-    # An engine dies in the middle of a Route Plan; another one runs the
-    # request again and cuts its answer into other pieces. The Planner must
-    # read the plan once, under one id, with one finish reason.
+def test_retry_adds_only_the_text_not_yet_relayed(first, second, cut):
+    # An engine crashes in mid-stream; another one runs the request again and
+    # splits its answer into other pieces. The caller must get the text once,
+    # with one id and one finish reason.
     check = relay.StreamCheck(10_000, 'r1')
     events = stream(TEXT, first)
     cut = min(cut, len(events) - 1)
@@ -80,22 +80,22 @@
 
 @settings()
 @hypothesis.given(SIZES, SIZES, strategies.integers(2, 8))
-def test_further_run_that_says_something_else_is_refused(first, second, cut):
-    # The second run answers with another plan. Its end on the first one's
-    # beginning would be a plan that nobody made.
+def test_retry_with_another_text_is_rejected(first, second, cut):
+    # The second run returns another text. Its end after the beginning of the
+    # first one would be a text that neither run generated.
     check = relay.StreamCheck(10_000, 'r1')
     events = stream(TEXT, first)
     out = b''.join(check.feed(block) for block in events[:cut])
-    passed = read(out)[0]
+    relayed = read(out)[0]
     check.continue_from_start()
     other = 'X' + TEXT[1:]
     with pytest.raises(errors.AnswerContradicts):
         for block in stream(other, second):
             out += check.feed(block)
-    assert read(out)[0] == passed
+    assert read(out)[0] == relayed
 
 
-def test_shorter_further_run_is_refused():
+def test_retry_with_a_shorter_text_is_rejected():
     check = relay.StreamCheck(10_000)
     check.feed(event(TEXT))
     check.continue_from_start()
@@ -105,8 +105,8 @@
 
 
 def test_tool_calls_cannot_be_compared():
-    # A tool call says more than its text: two runs whose texts agree may
-    # call different tools.
+    # A tool call is not part of the compared text: two runs with equal texts
+    # may call different tools.
     check = relay.StreamCheck(10_000)
     check.feed(event('', delta={'tool_calls': [{'id': 'x'}]}))
     assert not check.comparable
@@ -114,9 +114,9 @@
 
 @settings()
 @hypothesis.given(strategies.data())
-def test_numbered_events_pass_once_and_in_order(data):
-    # Events come twice, out of order or with gaps. What passes is always a
-    # beginning of the answer, and an error is raised where one is missing.
+def test_numbered_events_are_relayed_once_and_in_order(data):
+    # Events arrive twice, out of order or with gaps. The relayed text is
+    # always a prefix of the answer, and a missing event raises an error.
     check = relay.StreamCheck(10_000)
     events = stream(TEXT, [4], numbered=True)[:-1]
     order = data.draw(
@@ -132,9 +132,9 @@
     assert TEXT.startswith(text)
 
 
-def test_events_before_a_broken_one_reach_the_caller_first():
-    # One read brings a good event and noise. The good one counts as passed
-    # on, so it must be passed on before the noise is dealt with.
+def test_events_before_a_broken_one_are_relayed_first():
+    # One read returns a valid event and garbage. The valid one counts as
+    # relayed, so it must be relayed before the error is raised.
     check = relay.StreamCheck(10_000)
     out = check.feed(event('la ') + b'data: noise\n\n')
     assert read(out)[0] == 'la '
@@ -143,7 +143,7 @@
     check.raise_deferred_error()
 
 
-def test_bytes_after_the_terminator_are_no_part_of_the_answer():
+def test_bytes_after_the_terminator_are_dropped():
     check = relay.StreamCheck(10_000)
     out = check.feed(event('la') + sse.TERMINATOR + event('more'))
     assert out.endswith(sse.TERMINATOR)
--- a/tests/test_coordination/test_placement_cache_transfer.py
+++ b/tests/test_coordination/test_placement_cache_transfer.py
@@ -27,7 +27,7 @@
         self.imports.append((upstream, chat, data))
 
 
-def test_moving_does_not_pay_on_a_slow_link():
+def test_transfer_is_not_worthwhile_on_a_slow_link():
     context = cache_transfer.Context(1, 4000, 1.0)
     slow = cache_transfer.TransferSettings(bytes_per_second=1.25e9)
 
@@ -35,13 +35,13 @@
     assert not cache_transfer.is_worthwhile(context, slow)
 
 
-def test_chat_that_will_hardly_return_is_left_behind():
+def test_context_of_a_long_idle_chat_is_not_moved():
     assert not cache_transfer.is_worthwhile(
         cache_transfer.Context(1, 4000, 3600.0), FAST
     )
 
 
-def test_plan_spreads_and_keeps_to_the_time():
+def test_moves_are_spread_and_fit_the_time_limit():
     contexts = [
         cache_transfer.Context(chat, 100_000, 1.0) for chat in range(20)
     ]
@@ -53,9 +53,9 @@
     assert 0 < len(moves) < 20
 
 
-async def test_engine_that_died_is_given_up_soon(autojump_clock):
-    # the engine is not leaving but dead: trying all its chats would take
-    # the connection timeout of each
+async def test_transfers_stop_soon_after_the_engine_crashed(autojump_clock):
+    # The engine has crashed instead of leaving: trying all its chats would
+    # take one connection timeout for each.
     client = Client(errors.UpstreamUnreachable('gone'))
     contexts = [cache_transfer.Context(chat, 1000, 1.0) for chat in range(50)]
     moves = cache_transfer.plan_moves(contexts, {'a': 1}, FAST)
@@ -70,8 +70,8 @@
 
 
 async def test_chats_follow_their_moved_contexts(nursery, autojump_clock):
-    # an engine leaves and its chats' contexts are moved; the next turn of
-    # each must go where its context now is
+    # An engine leaves and the contexts of its chats are moved. The next turn
+    # of each chat must go to the engine that now has the context.
     pool = configuration.Pool('chat', 'model', exports_cache=True)
     fleet = fakes.Fleet(nursery, routers=2, engines=3, pool=pool)
     fleet.report({vm.id: 0 for vm in fleet.vms})
--- a/tests/test_load/test_load_driver.py
+++ b/tests/test_load/test_load_driver.py
@@ -81,7 +81,7 @@
 
 async def test_refusals_are_counted_by_kind():
     async with path_fakes.running() as path:
-        path.app.configurations.item = None
+        path.app.configurations.document = None
         result = await load.run_load(
             make_plan(seconds=0.2, tries=1), [address(path)]
         )
--- a/tests/test_transport/test_callers.py
+++ b/tests/test_transport/test_callers.py
@@ -24,7 +24,7 @@
             assert response.status_code == 401
             assert response.json()['outcome'] == 'not-run'
             assert response.headers['www-authenticate'] == 'Bearer'
-    assert path.admission.asks == []
+    assert path.admission.permit_requests == []
 
 
 async def test_credential_never_reaches_an_upstream(monkeypatch):
@@ -49,7 +49,9 @@
     # An operator takes a leaked credential out. The cache of checked
     # credentials must not let it in any longer.
     credentials = caller_credentials.Credentials()
-    configurations = path_fakes.FakeConfigurations(path_fakes.document())
+    configurations = path_fakes.FakeConfigurations(
+        path_fakes.make_configuration()
+    )
     header = f'Bearer {path_fakes.CREDENTIAL}'
     first = configurations.current()
     assert credentials.customer(first, header) == 'corte'
@@ -112,13 +114,13 @@
 async def test_readiness_fails_without_a_configuration_and_at_a_stop():
     async with path_fakes.running() as path:
         ready = await path.client.get('/readyz')
-        item, path.app.configurations.item = (
-            path.app.configurations.item,
+        item, path.app.configurations.document = (
+            path.app.configurations.document,
             None,
         )
         unready = await path.client.get('/readyz')
         refused = await path.client.get('/alerts/a')
-        path.app.configurations.item = item
+        path.app.configurations.document = item
         path.app.begin_stop()
         stopping = await path.client.get('/readyz')
         served = await path.client.get('/alerts/a')
@@ -160,7 +162,7 @@
             async for _ in response.aiter_raw():
                 break
         with trio.fail_after(30):
-            await path.admission.all_released()
+            await path.admission.wait_all_released()
         record = path.engines[0].log.records[0]
         await path_fakes.until(lambda: record.result)
     assert record.result == 'cancelled'
@@ -195,7 +197,7 @@
         await begun.wait()
         await stream.aclose()
         with trio.move_on_after(10):
-            await path.admission.all_released()
+            await path.admission.wait_all_released()
     assert path.admission.results == ['CallerGone']
     assert path.dispatcher.in_progress == 0
 
