--- a/tests/test_coordination/test_agreed_bounds.py
+++ b/tests/test_coordination/test_agreed_bounds.py
@@ -1,4 +1,4 @@
-"""Short runs of the bench, and proof that its checks can fail."""
+"""Short runs of the benchmarks, and tests that their checks can fail."""
 
 from __future__ import annotations
 
@@ -22,45 +22,45 @@
 from lavenderbend.coordination.configuration import log as configuration_log
 
 
-def check(lines):
-    over = [line for line in lines if not line.holds]
-    assert not over
+def check_measures(lines):
+    exceeded = [line for line in lines if not line.holds]
+    assert not exceeded
 
 
 def test_non_idempotent_requests_run_at_most_once():
     result = at_most_once.run(1500, seed=5, rate=15.0)
     assert result.ran > 1400
     assert min(result.kills, result.outages, result.lost_answers) > 0
-    check(measures.of_at_most_once(result))
+    check_measures(measures.of_at_most_once(result))
 
 
 class UnconfirmedShard(claim_shards.Shard):
-    """Takes its ownership for exclusive: answers before the log does."""
+    """Assumes exclusive ownership: answers without appending to the log."""
 
     async def append_confirmed(self, number, value):
         return log.Entry(number, value)
 
 
-def test_at_most_once_check_finds_owners_that_trust_themselves(monkeypatch):
+def test_at_most_once_check_detects_claims_granted_without_the_log(monkeypatch):
     monkeypatch.setattr(claim_shards, 'Shard', UnconfirmedShard)
     result = at_most_once.run(1500, seed=5, rate=15.0)
     assert result.ran_twice > 0
 
 
 class ImpatientRequester(claim_requester.ClaimRequester):
-    """Takes any trouble for a service that is down."""
+    """Treats every undecided reply as an outage of the service."""
 
     async def query_owner(self, claim_request):
-        answer = await super().query_owner(claim_request)
-        if answer.state == 'undecided':
-            raise self.unavailable_error('trouble')
-        return answer
+        reply = await super().query_owner(claim_request)
+        if reply.state == 'undecided':
+            raise self.unavailable_error('undecided')
+        return reply
 
     async def query_former_owners(self, claim_request):
         return None
 
 
-def test_at_most_once_check_finds_innocents_refused(monkeypatch):
+def test_at_most_once_check_detects_refused_unrun_requests(monkeypatch):
     monkeypatch.setattr(claim_requester, 'ClaimRequester', ImpatientRequester)
     result = at_most_once.run(1500, seed=5, rate=15.0)
     assert result.innocent_refused > 0
@@ -69,47 +69,47 @@
 def test_claims_stay_within_writes_and_latency():
     result = claim_rate.run(seconds=3.0)
     assert result.claims_per_second > 900
-    check(measures.of_claim_rate(result))
+    check_measures(measures.of_claim_rate(result))
 
 
-def test_claims_table_stays_small():
-    check(measures.of_claim_table(claim_table.run(5000)))
+def test_claim_table_stays_within_its_size():
+    check_measures(measures.of_claim_table(claim_table.run(5000)))
 
 
-def test_racing_operators_lose_nothing():
+def test_concurrent_operators_lose_no_change():
     result = operators.run(150)
     assert result.accepted >= 150
     assert min(result.conflicts, result.restarts, result.outages) > 0
-    check(measures.of_operators(result))
+    check_measures(measures.of_operators(result))
 
 
 class LastWriterWins(configuration_log.ConfigurationLog):
-    """Accepts a document on whatever revision is the newest."""
+    """Accepts a document whatever revision it is based on."""
 
     async def accept(self, document, seen, author, reason):
         await self.catch_up()
         return await super().accept(document, self.chain.number, author, reason)
 
 
-def test_operator_check_finds_lost_changes(monkeypatch):
+def test_operator_check_detects_lost_changes(monkeypatch):
     monkeypatch.setattr(configuration_log, 'ConfigurationLog', LastWriterWins)
     assert operators.run(150).lost > 0
 
 
-class SlidingChain(configuration_chain.Chain):
-    """Takes whatever whole revision it is offered."""
+class UncheckedChain(configuration_chain.Chain):
+    """Applies every complete revision that it gets."""
 
     def take_whole(self, known):
         self.step(known)
         return True
 
 
-class SlidingFollower(configuration_follower.ConfigurationFollower):
-    """Fetches whole revisions from peers without comparing numbers."""
+class UncheckedFollower(configuration_follower.ConfigurationFollower):
+    """Fetches complete revisions from peers without comparing numbers."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.chain = SlidingChain()
+        self.chain = UncheckedChain()
         self.log.chain = self.chain
 
     def heard(self, router, item):
@@ -122,17 +122,17 @@
         return await super().on_entries(router, attrs.evolve(ask, after=-1))
 
 
-def test_operator_check_finds_revisions_that_go_back():
-    result = operators.run(150, follower_class=SlidingFollower)
+def test_operator_check_detects_revisions_that_go_back():
+    result = operators.run(150, follower_class=UncheckedFollower)
     assert result.went_back > 0
 
 
 def test_following_a_large_configuration_is_cheap():
-    check(measures.of_spread(spread.run(seconds=120.0)))
+    check_measures(measures.of_spread(spread.run(seconds=120.0)))
 
 
-def test_change_spreads_when_the_service_dies_after_accepting_it():
-    check(measures.of_outage_spread(outage_spread.run(changes=10)))
+def test_change_spreads_when_the_service_fails_after_accepting_it():
+    check_measures(measures.of_outage_spread(outage_spread.run(changes=10)))
 
 
 @pytest.mark.parametrize('routers', [70])
--- a/tests/test_coordination/test_agreed_call_budget.py
+++ b/tests/test_coordination/test_agreed_call_budget.py
@@ -8,8 +8,8 @@
 from tests.test_coordination import agreed_fakes as fakes
 
 
-async def test_background_calls_leave_room_for_claims(autojump_clock):
-    """A compaction asks as fast as it can while claims come steadily."""
+async def test_background_calls_do_not_delay_claims(autojump_clock):
+    """A compaction calls as fast as it can during a steady rate of claims."""
     store = fakes.service()
     budget = call_budget.CallBudget(writes_per_second=50.0)
     claims = call_budget.BudgetedStore(
@@ -18,13 +18,13 @@
     background = call_budget.BudgetedStore(
         store, budget, call_budget.CallPriority.BACKGROUND
     )
-    done = {'claims': 0, 'background': 0}
+    counts = {'claims': 0, 'background': 0}
 
     async def compact(number):
         while True:
             try:
                 await background.delete(f'b{number}')
-                done['background'] += 1
+                counts['background'] += 1
             except errors.KeyValueUnavailable:
                 await trio.sleep(0.01)
 
@@ -35,44 +35,44 @@
         for number in range(400):
             began = trio.current_time()
             await claims.create(f'c{number}', b'')
-            done['claims'] += 1
+            counts['claims'] += 1
             slowest = max(slowest, trio.current_time() - began)
             await trio.sleep(1 / 40)
         nursery.cancel_scope.cancel()
-    assert done['claims'] == 400
+    assert counts['claims'] == 400
     assert slowest < 0.03
-    assert done['background'] > 0
+    assert counts['background'] > 0
 
 
 async def test_calls_stay_within_the_rate(autojump_clock):
     store = fakes.service()
     budget = call_budget.CallBudget(reads_per_second=100.0)
-    reads = call_budget.BudgetedStore(
+    reader = call_budget.BudgetedStore(
         store, budget, call_budget.CallPriority.CLAIMS
     )
 
-    async def ask():
+    async def read_repeatedly():
         while True:
             try:
-                await reads.read('a')
+                await reader.read('a')
             except errors.KeyValueUnavailable:
                 await trio.sleep(0.01)
 
     with trio.move_on_after(10):
         async with trio.open_nursery() as nursery:
             for _ in range(30):
-                nursery.start_soon(ask)
+                nursery.start_soon(read_repeatedly)
     assert 950 <= store.calls['read'] <= 1060
 
 
-async def test_call_over_the_budget_was_not_made(autojump_clock):
+async def test_call_over_the_budget_is_not_made(autojump_clock):
     store = fakes.service()
     budget = call_budget.CallBudget(writes_per_second=0.5, max_wait_seconds=0.5)
-    writes = call_budget.BudgetedStore(
+    writer = call_budget.BudgetedStore(
         store, budget, call_budget.CallPriority.CLAIMS
     )
     for number in range(3):
-        await writes.create(f'k{number}', b'')
+        await writer.create(f'k{number}', b'')
     with pytest.raises(errors.KeyValueUnavailable, match='budget'):
-        await writes.create('k3', b'')
+        await writer.create('k3', b'')
     assert store.calls['create'] == 3
--- a/tests/test_coordination/test_agreed_claims.py
+++ b/tests/test_coordination/test_agreed_claims.py
@@ -14,7 +14,7 @@
 
 
 class Fleet:
-    """Claims of some routers over one service."""
+    """Claims of several routers with one key-value service."""
 
     def __init__(self, store, nursery, count=3, **policy):
         self.store = store
@@ -47,17 +47,17 @@
         self.scopes[name].cancel()
         self.network.down.add(name)
         if noticed:
-            left = [n for n in self.membership.names if n != name]
-            self.membership.set_routers(left)
+            remaining = [n for n in self.membership.names if n != name]
+            self.membership.set_routers(remaining)
 
     def owner(self):
         return self.routers[self.names[0]].owner(0)
 
-    def others(self):
+    def non_owners(self):
         return [self.routers[n] for n in self.names if n != self.owner()]
 
 
-def soon(seconds=10.0):
+def deadline_in(seconds=10.0):
     return trio.current_time() + seconds
 
 
@@ -74,128 +74,135 @@
 
 
 async def test_second_copy_gets_the_recorded_outcome(fleet, autojump_clock):
-    one, two = fleet.others()
-    first = await one.claim('ana', 'k', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    first = await first_router.claim('ana', 'k', BODY, deadline_in())
     assert isinstance(first, claims.Claimed)
-    await one.record(first.token, errors.Outcome.COMPLETE, 200)
-    await one.drain()
-    second = await two.claim('ana', 'k', BODY, soon())
+    await first_router.record(first.token, errors.Outcome.COMPLETE, 200)
+    await first_router.drain()
+    second = await second_router.claim('ana', 'k', BODY, deadline_in())
     assert second == claims.Recorded(errors.Outcome.COMPLETE, 200)
-    assert isinstance(await two.claim('bo', 'k', BODY, soon()), claims.Claimed)
+    assert isinstance(
+        await second_router.claim('bo', 'k', BODY, deadline_in()),
+        claims.Claimed,
+    )
 
 
 async def test_second_copy_waits_while_the_first_runs(
     fleet, nursery, autojump_clock
 ):
-    one, two = fleet.others()
-    first = await one.claim('ana', 'k', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    first = await first_router.claim('ana', 'k', BODY, deadline_in())
 
     async def finish():
         await trio.sleep(3)
-        await one.record(first.token, errors.Outcome.FAILED, 500)
+        await first_router.record(first.token, errors.Outcome.FAILED, 500)
 
     nursery.start_soon(finish)
-    second = await two.claim('ana', 'k', BODY, soon())
+    second = await second_router.claim('ana', 'k', BODY, deadline_in())
     assert second == claims.Recorded(errors.Outcome.FAILED, 500)
     assert trio.current_time() < 5
 
 
-async def test_second_copy_is_told_unknown_at_its_deadline(
-    fleet, autojump_clock
-):
-    one, two = fleet.others()
-    await one.claim('ana', 'k', BODY, soon())
-    deadline = soon(4)
-    second = await two.claim('ana', 'k', BODY, deadline)
+async def test_second_copy_gets_unknown_at_its_deadline(fleet, autojump_clock):
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'k', BODY, deadline_in())
+    deadline = deadline_in(4)
+    second = await second_router.claim('ana', 'k', BODY, deadline)
     assert second == claims.Recorded(errors.Outcome.UNKNOWN)
     assert trio.current_time() <= deadline + 0.1
 
 
 async def test_same_key_with_another_body_is_refused(fleet, autojump_clock):
-    one, two = fleet.others()
-    await one.claim('ana', 'k', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'k', BODY, deadline_in())
     with pytest.raises(errors.IdempotencyKeyReused):
-        await two.claim('ana', 'k', b'another', soon())
+        await second_router.claim('ana', 'k', b'another', deadline_in())
 
 
 async def test_released_key_can_be_claimed_with_another_body(
     fleet, autojump_clock
 ):
-    """An owner with an old table meets a released key.
+    """The table of an owner does not show yet that a key was released.
 
-    It would refuse an honest request for a body that was never run.
+    The owner would refuse a valid request because of a body that never ran.
     """
-    one, two = fleet.others()
-    first = await one.claim('ana', 'k', BODY, soon())
-    await two.record(first.token, errors.Outcome.NOT_RUN)
-    # the release goes through another owner, unseen by the first
-    two.outcomes.failed_requests[0] = 1
-    await two.drain()
-    second = await one.claim('ana', 'k', b'another', soon())
+    first_router, second_router = fleet.non_owners()
+    first = await first_router.claim('ana', 'k', BODY, deadline_in())
+    await second_router.record(first.token, errors.Outcome.NOT_RUN)
+    # another owner writes the release, which the first has not read
+    second_router.outcomes.failed_requests[0] = 1
+    await second_router.drain()
+    second = await first_router.claim('ana', 'k', b'another', deadline_in())
     assert isinstance(second, claims.Claimed)
 
 
-async def test_outage_refuses_at_once_with_a_time_to_come_back(
-    fleet, autojump_clock
-):
+async def test_outage_refuses_at_once_with_retry_after(fleet, autojump_clock):
     """The service is down for an hour.
 
-    Callers must hear 'not run' at once and truthfully, not after minutes.
+    Callers must get a correct 'not run' at once, not after minutes.
     """
-    one, two = fleet.others()
+    first_router, second_router = fleet.non_owners()
     fleet.store.fault(outage=True)
     with pytest.raises(errors.ClaimUnavailable) as caught:
-        await one.claim('ana', 'k', BODY, soon(60))
+        await first_router.claim('ana', 'k', BODY, deadline_in(60))
     assert caught.value.retry_after > 0
     assert trio.current_time() < 4
     before = trio.current_time()
     for number in range(100):
         with pytest.raises(errors.ClaimUnavailable):
-            await two.claim('ana', f'k{number}', BODY, soon(60))
+            await second_router.claim(
+                'ana', f'k{number}', BODY, deadline_in(60)
+            )
     assert trio.current_time() - before < 100 * 0.8
-    assert sum(len(lines) for lines in two.outcomes.queue.values()) == 0
+    assert (
+        sum(len(lines) for lines in second_router.outcomes.queue.values()) == 0
+    )
     fleet.store.fault(outage=False)
     await trio.sleep(2)
-    assert isinstance(await two.claim('ana', 'k', BODY, soon()), claims.Claimed)
+    assert isinstance(
+        await second_router.claim('ana', 'k', BODY, deadline_in()),
+        claims.Claimed,
+    )
 
 
-async def test_answer_lost_then_outage_frees_the_key_afterwards(
+async def test_key_is_released_after_a_lost_answer_and_an_outage(
     fleet, autojump_clock
 ):
-    """The claim is written, the service dies before it can be settled.
+    """A claim is written, and the service goes down before that is known.
 
-    The caller is told 'not run' and sends again through another router
-    after the outage: the first claim must not block it for ever.
+    The caller gets 'not run' and sends the request to another router after
+    the outage: the first claim must not block the key for ever.
     """
-    one, two = fleet.others()
-    await one.claim('ana', 'warm', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'warm', BODY, deadline_in())
     original = fleet.store.create
 
-    async def create_and_die(*args, **kwargs):
+    async def create_and_fail(*args, **kwargs):
         await original(*args, **kwargs)
         fleet.store.create = original
         fleet.store.fault(outage=True)
         raise errors.KeyValueUncertain('no answer')
 
-    fleet.store.create = create_and_die
+    fleet.store.create = create_and_fail
     with pytest.raises(errors.ClaimUnavailable):
-        await one.claim('ana', 'k', BODY, soon(30))
+        await first_router.claim('ana', 'k', BODY, deadline_in(30))
     fleet.store.fault(outage=False)
-    second = await two.claim('ana', 'k', BODY, soon(30))
+    second = await second_router.claim('ana', 'k', BODY, deadline_in(30))
     assert isinstance(second, claims.Claimed)
-    third = await one.claim('ana', 'k', BODY, soon(2))
+    third = await first_router.claim('ana', 'k', BODY, deadline_in(2))
     assert third == claims.Recorded(errors.Outcome.UNKNOWN)
 
 
-async def test_owner_dies_between_commit_and_answer(fleet, autojump_clock):
-    """The owner commits a claim and its VM is gone before it answers.
+async def test_owner_crashes_between_commit_and_answer(fleet, autojump_clock):
+    """The owner commits a claim and crashes before it answers.
 
-    The entry asks the next owner, which finds its own token in the log:
-    refused, an innocent request would fail; run by both, twice.
+    The entry router asks the next owner, which finds the same token in the
+    log. The claim must be granted exactly once: if it were refused, a
+    request that never ran would fail; granted again, it would run twice.
     """
     owner = fleet.owner()
-    one, two = fleet.others()
-    await one.claim('ana', 'warm', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'warm', BODY, deadline_in())
     original = fleet.store.create
 
     async def create_and_kill(*args, **kwargs):
@@ -205,49 +212,49 @@
         return done
 
     fleet.store.create = create_and_kill
-    first = await one.claim('ana', 'k', BODY, soon())
+    first = await first_router.claim('ana', 'k', BODY, deadline_in())
     assert isinstance(first, claims.Claimed)
-    second = await two.claim('ana', 'k', BODY, soon(3))
+    second = await second_router.claim('ana', 'k', BODY, deadline_in(3))
     assert second == claims.Recorded(errors.Outcome.UNKNOWN)
 
 
 async def test_two_owners_at_once_claim_a_key_once(
     fleet, nursery, autojump_clock
 ):
-    """Routers disagree about who is alive, so two think they own a shard."""
+    """Two routers act as owner of a shard as their memberships differ."""
     views = [fakes.Membership(fleet.names), fakes.Membership(fleet.names)]
     owner = fleet.owner()
     views[1].set_routers([n for n in fleet.names if n != owner])
-    routers = fleet.others()
+    routers = fleet.non_owners()
     for router, view in zip(routers, views, strict=True):
         router.membership = view
-    results = {}
+    results_by_key = {}
 
     async def claim(router, key):
-        got = await router.claim('ana', key, BODY, soon(3))
-        results.setdefault(key, []).append(got)
+        result = await router.claim('ana', key, BODY, deadline_in(3))
+        results_by_key.setdefault(key, []).append(result)
 
     async with trio.open_nursery() as inner:
         for number in range(50):
             for router in routers:
                 inner.start_soon(claim, router, f'k{number}')
-    for got in results.values():
-        claimed = [g for g in got if isinstance(g, claims.Claimed)]
+    for result in results_by_key.values():
+        claimed = [g for g in result if isinstance(g, claims.Claimed)]
         assert len(claimed) == 1
     shards = [0 in r.shards for r in fleet.routers.values()]
     assert shards.count(True) >= 2
 
 
-async def test_entry_that_ran_a_claim_is_gone(fleet, autojump_clock):
-    """The entry dies while it runs a request; its copy is asked for again.
+async def test_router_that_ran_a_claimed_request_is_lost(fleet, autojump_clock):
+    """The entry router crashes while it runs a request; a copy arrives.
 
-    Nobody can tell whether it ran: the second copy is told so in seconds
-    and is never run.
+    It is not known whether the request ran: the copy gets 'unknown' within
+    seconds and never runs.
     """
-    one, two = fleet.others()
-    await one.claim('ana', 'k', BODY, soon())
-    fleet.kill(one.name)
-    second = await two.claim('ana', 'k', BODY, soon(60))
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'k', BODY, deadline_in())
+    fleet.kill(first_router.name)
+    second = await second_router.claim('ana', 'k', BODY, deadline_in(60))
     assert second == claims.Recorded(errors.Outcome.UNKNOWN)
     assert trio.current_time() < 10
 
@@ -257,86 +264,88 @@
 ):
     fleet = Fleet(store, nursery, retention=100.0, clock_margin=10.0)
     await trio.sleep(0.1)
-    one = fleet.others()[0]
+    first_router = fleet.non_owners()[0]
     for number in range(60):
-        got = await one.claim('ana', f'k{number}', BODY, soon())
-        await one.record(got.token, errors.Outcome.COMPLETE, 200)
+        result = await first_router.claim(
+            'ana', f'k{number}', BODY, deadline_in()
+        )
+        await first_router.record(result.token, errors.Outcome.COMPLETE, 200)
         await trio.sleep(5)
     await trio.sleep(30)
     entries = (await store.read('/lavenderbend/claims/0000/entry/', '0')).items
     assert len(entries) < 60
     fleet.kill(fleet.owner())
-    last = await one.claim('ana', 'k59', BODY, soon())
+    last = await first_router.claim('ana', 'k59', BODY, deadline_in())
     assert last == claims.Recorded(errors.Outcome.COMPLETE, 200)
-    oldest = await one.claim('ana', 'k0', BODY, soon())
+    oldest = await first_router.claim('ana', 'k0', BODY, deadline_in())
     assert isinstance(oldest, claims.Claimed)
 
 
 async def test_claim_answered_after_the_deadline_is_not_run(
     fleet, autojump_clock
 ):
-    """A paused entry finds its claim granted after its deadline."""
-    one, two = fleet.others()
-    await one.claim('ana', 'warm', BODY, soon())
+    """A claim that is granted after its deadline is released."""
+    first_router, second_router = fleet.non_owners()
+    await first_router.claim('ana', 'warm', BODY, deadline_in())
     fleet.store.fault(latency=0.4)
     with pytest.raises(errors.ClaimUnavailable):
-        await one.claim('ana', 'k', BODY, soon(0.5))
+        await first_router.claim('ana', 'k', BODY, deadline_in(0.5))
     fleet.store.fault(latency=0.001)
     await trio.sleep(3)
-    second = await two.claim('ana', 'k', BODY, soon())
+    second = await second_router.claim('ana', 'k', BODY, deadline_in())
     assert isinstance(second, claims.Claimed)
 
 
-async def test_delayed_ask_after_release_does_not_block_the_key(
+async def test_claim_delayed_past_its_release_does_not_block_the_key(
     fleet, autojump_clock
 ):
-    """The owner hangs with an ask; its asker gives up and releases first."""
-    one, two = fleet.others()
+    """The owner handles a claim late, after its router released it."""
+    first_router, second_router = fleet.non_owners()
     hashed = claims.key_hash('ana', 'k')
     token = claims.ClaimToken(0, hashed, b'12345678')
-    await one.record(token, errors.Outcome.NOT_RUN)
-    await one.drain()
+    await first_router.record(token, errors.Outcome.NOT_RUN)
+    await first_router.drain()
     owner = fleet.routers[fleet.owner()]
-    line = claims.ClaimLine(hashed, token.id, b'12345678', one.name)
-    state = await owner.ensure_shard(0).claim(line, soon(2))
+    line = claims.ClaimLine(hashed, token.id, b'12345678', first_router.name)
+    state = await owner.ensure_shard(0).claim(line, deadline_in(2))
     assert state is claims.ClaimState.UNAVAILABLE
-    got = await two.claim('ana', 'k', BODY, soon())
-    assert isinstance(got, claims.Claimed)
+    result = await second_router.claim('ana', 'k', BODY, deadline_in())
+    assert isinstance(result, claims.Claimed)
 
 
-async def test_copy_during_an_outage_hears_that_the_first_ran(
+async def test_copy_during_an_outage_gets_the_outcome_of_the_first(
     fleet, autojump_clock
 ):
-    """The service goes down and the owner's VM is replaced, then a copy comes.
+    """A copy arrives after the service went down and the owner changed.
 
-    The new owner cannot read the log. Told 'not run', the caller might send
-    its reply to a citizen under another key.
+    The new owner cannot read the log. With 'not run' the caller might send
+    the request again under another key.
     """
-    one, two = fleet.others()
-    first = await one.claim('ana', 'k', BODY, soon())
+    first_router, second_router = fleet.non_owners()
+    first = await first_router.claim('ana', 'k', BODY, deadline_in())
     fleet.store.fault(outage=True)
-    await one.record(first.token, errors.Outcome.COMPLETE, 200)
+    await first_router.record(first.token, errors.Outcome.COMPLETE, 200)
     fleet.kill(fleet.owner())
-    second = await two.claim('ana', 'k', BODY, soon())
+    second = await second_router.claim('ana', 'k', BODY, deadline_in())
     assert second == claims.Recorded(errors.Outcome.COMPLETE, 200)
 
 
-async def test_unreadable_entry_refuses_claims_and_hides_none(
-    store, nursery, autojump_clock
-):
-    """Something else wrote into the log; the router must not crash on it."""
+async def test_undecodable_entry_refuses_claims(store, nursery, autojump_clock):
+    """The log has an entry of another format; the router must not crash."""
     await store.create('/lavenderbend/claims/0000/entry/' + '1' * 16, b'x')
     fleet = Fleet(store, nursery)
     with pytest.raises(errors.ClaimUnavailable):
-        await fleet.others()[0].claim('ana', 'k', BODY, soon())
+        await fleet.non_owners()[0].claim('ana', 'k', BODY, deadline_in())
     nursery.cancel_scope.cancel()
 
 
-async def test_many_outcomes_kept_back_fit_the_service(fleet, autojump_clock):
-    """After a long outage every router brings a long queue of outcomes.
+async def test_queued_outcomes_stay_below_the_value_size_limit(
+    fleet, autojump_clock
+):
+    """After a long outage every router has many outcomes queued.
 
-    In one entry they would be over the service's limit, refused again and
-    again, and claims with them.
+    In one entry they would exceed the service's value size limit: the write
+    would be refused repeatedly, and claims with it.
     """
     original = fleet.store.create
     sizes = []
@@ -355,25 +364,25 @@
         for router in fleet.routers.values():
             await router.drain()
     assert max(sizes) < 1_000_000
-    got = await fleet.others()[0].claim('ana', 'k', BODY, soon())
-    assert isinstance(got, claims.Claimed)
+    result = await fleet.non_owners()[0].claim('ana', 'k', BODY, deadline_in())
+    assert isinstance(result, claims.Claimed)
 
 
-async def test_router_with_another_number_of_shards_runs_nothing(
+async def test_router_with_another_number_of_shards_claims_nothing(
     fleet, nursery, autojump_clock
 ):
-    """A new version comes with more shards while old routers still run.
+    """A router with more shards starts while routers with fewer still run.
 
     It would look for a key in another log and run its request again.
     """
-    one = fleet.others()[0]
-    await one.claim('ana', 'k', BODY, soon())
+    first_router = fleet.non_owners()[0]
+    await first_router.claim('ana', 'k', BODY, deadline_in())
     fleet.policy = claims_module.ClaimPolicy(shards=16)
     fleet.start('new')
     await trio.sleep(1)
     new = fleet.routers['new']
     with pytest.raises(errors.ClaimUnavailable):
-        await new.claim('ana', 'another', BODY, soon(5))
-    # the router that claimed this one knows it, whatever the layout
-    copy = await new.claim('ana', 'k', BODY, soon(5))
+        await new.claim('ana', 'another', BODY, deadline_in(5))
+    # the router that claimed this key knows it, whatever the layout
+    copy = await new.claim('ana', 'k', BODY, deadline_in(5))
     assert copy == claims.Recorded(errors.Outcome.UNKNOWN)
--- a/tests/test_coordination/test_agreed_leases.py
+++ b/tests/test_coordination/test_agreed_leases.py
@@ -10,7 +10,7 @@
 from tests.test_coordination import agreed_fakes as fakes
 
 
-def lease(store, name):
+def make_lease(store, name):
     return leases.Lease(
         store, 'l', name, random.Random(name), seconds=30.0, margin=2.0
     )
@@ -21,10 +21,8 @@
     return fakes.service()
 
 
-async def test_holder_believes_for_less_time_than_the_service(
-    store, autojump_clock
-):
-    held = lease(store, 'a')
+async def test_holders_term_ends_before_the_services(store, autojump_clock):
+    held = make_lease(store, 'a')
     await held.acquire()
     granted = next(iter(store.leases.values())).expires
     assert held.held_until < granted - 1.9
@@ -33,24 +31,22 @@
         held.check(29.0)
 
 
-async def test_fencing_numbers_grow_from_holder_to_holder(
-    store, autojump_clock
-):
-    numbers = []
+async def test_fencing_tokens_grow_from_holder_to_holder(store, autojump_clock):
+    tokens = []
     for name in ('a', 'b', 'c'):
-        held = lease(store, name)
+        held = make_lease(store, name)
         await held.acquire()
-        numbers.append(held.fencing)
+        tokens.append(held.fencing)
         await held.release()
         assert held.seconds_left() == 0
-    assert numbers == sorted(set(numbers))
+    assert tokens == sorted(set(tokens))
 
 
-async def test_lease_that_lapses_at_the_service_is_lost(
+async def test_lease_that_expires_at_the_service_is_lost(
     store, nursery, autojump_clock
 ):
-    """The service lets the lease lapse while its holder still renews."""
-    held = lease(store, 'a')
+    """The service expires the lease while its holder still renews it."""
+    held = make_lease(store, 'a')
     await held.acquire()
     store.lapse(held.lease_id)
     with trio.fail_after(30):
@@ -58,8 +54,10 @@
     assert held.fencing == 0
 
 
-async def test_outage_ends_the_belief_before_the_lease(store, autojump_clock):
-    held = lease(store, 'a')
+async def test_holders_term_ends_in_time_during_an_outage(
+    store, autojump_clock
+):
+    held = make_lease(store, 'a')
     await held.acquire()
     held_until = held.held_until
     store.fault(outage=True)
@@ -68,16 +66,16 @@
     assert held.seconds_left() == 0
 
 
-async def test_two_never_believe_at_once(store, nursery, autojump_clock):
-    """Answers are lost, writes come late and the service is down at times.
+async def test_lease_never_has_two_holders(store, nursery, autojump_clock):
+    """Answers are lost, writes are delayed and the service has outages.
 
-    Two holders at once would both send orders to engines.
+    Two holders at the same time would both send orders to engines.
     """
     store.fault(lost_answers=0.2, lost_requests=0.1, late_writes=0.5)
-    held = [lease(store, name) for name in 'abc']
+    all_leases = [make_lease(store, name) for name in 'abc']
     seen = set()
 
-    async def cycle(holder):
+    async def acquire_and_release(holder):
         while True:
             await holder.acquire()
             seen.add(holder.name)
@@ -85,18 +83,18 @@
                 await holder.renew_until_lost()
             await holder.release()
 
-    async def trouble():
+    async def cause_outages():
         while True:
             await trio.sleep(70)
             store.fault(outage=True)
             await trio.sleep(40)
             store.fault(outage=False)
 
-    for holder in held:
-        nursery.start_soon(cycle, holder)
-    nursery.start_soon(trouble)
+    for holder in all_leases:
+        nursery.start_soon(acquire_and_release, holder)
+    nursery.start_soon(cause_outages)
     for _ in range(20_000):
         await trio.sleep(0.1)
-        assert sum(holder.seconds_left() > 0 for holder in held) <= 1
+        assert sum(holder.seconds_left() > 0 for holder in all_leases) <= 1
     assert seen == set('abc')
     nursery.cancel_scope.cancel()
--- a/tests/test_coordination/test_agreed_stateful.py
+++ b/tests/test_coordination/test_agreed_stateful.py
@@ -1,4 +1,4 @@
-"""Random stories over claims and configuration, against simple models."""
+"""Random scenarios of claims and configuration, against simple models."""
 
 from __future__ import annotations
 
@@ -60,16 +60,16 @@
 )
 
 
-class ClaimStory:
-    """Plays steps and keeps what every claim was told.
+class ClaimScenario:
+    """Executes steps and records the result of every claim.
 
     Attributes:
-        running: Tokens that were given and not yet finished.
-        finished: Keys whose request was run to its end.
+        running: Tokens that were granted and not yet finished.
+        finished: Keys whose request ran to its end.
         held: Token that may run, by key: never two at once, and none once
             a key is finished.
-        lost: Keys whose asker was killed while it asked or released.
-        released: Routers and the keys they gave up.
+        lost: Keys whose router was killed while it claimed or released them.
+        released: Routers and the keys that they released.
     """
 
     def __init__(self, make):
@@ -82,7 +82,7 @@
         self.lost = set()
         self.released = []
 
-    async def play(self, steps):
+    async def run(self, steps):
         self.fleet = fleets.Fleet(
             self.store,
             random.Random(2),
@@ -100,7 +100,7 @@
             self.store.fault(outage=False, lost_answers=0, lost_requests=0)
             await trio.sleep(20)
             for key in range(KEYS):
-                await self.last(key)
+                await self.check_final_claim(key)
             nursery.cancel_scope.cancel()
 
     def router(self, index):
@@ -108,49 +108,49 @@
 
     async def claim(self, index, key):
         router = self.router(index)
-        router.nursery.start_soon(self.one, router, key, 5.0)
+        router.nursery.start_soon(self.claim_and_check, router, key, 5.0)
 
-    async def one(self, router, key, seconds):
+    async def claim_and_check(self, router, key, seconds):
         deadline = trio.current_time() + seconds
         name = f'k{key}'
         try:
-            got = await router.claims.claim('c', name, b'b', deadline)
+            result = await router.claims.claim('c', name, b'b', deadline)
         except errors.ClaimUnavailable:
             return None
         except trio.Cancelled:
             self.lost.add(key)
             raise
-        if isinstance(got, claims.Claimed):
+        if isinstance(result, claims.Claimed):
             assert key not in self.finished, 'claimed after it had run'
             assert self.held.get(key) is None, 'claimed twice at once'
-            self.held[key] = got.token
-            self.running.append((router, key, got.token))
-        elif got.outcome is errors.Outcome.COMPLETE:
-            assert key in self.finished, 'told complete before it was'
-        return got
-
-    def take(self, index):
-        """Takes a request that runs on a live router, if there is one."""
-        live = [one for one in self.running if not one[0].scope.cancel_called]
+            self.held[key] = result.token
+            self.running.append((router, key, result.token))
+        elif result.outcome is errors.Outcome.COMPLETE:
+            assert key in self.finished, 'complete before it finished'
+        return result
+
+    def take_running(self, index):
+        """Removes and returns a request that runs on a live router, if any."""
+        live = [run for run in self.running if not run[0].scope.cancel_called]
         if not live:
             return None
-        taken = live[index % len(live)]
-        self.running.remove(taken)
-        return taken
+        running = live[index % len(live)]
+        self.running.remove(running)
+        return running
 
     async def finish(self, index):
-        taken = self.take(index)
-        if taken is None:
+        running = self.take_running(index)
+        if running is None:
             return
-        router, key, token = taken
+        router, key, token = running
         self.finished.add(key)
         await router.claims.record(token, errors.Outcome.COMPLETE, 200)
 
     async def give_up(self, index):
-        taken = self.take(index)
-        if taken is None:
+        running = self.take_running(index)
+        if running is None:
             return
-        router, key, token = taken
+        router, key, token = running
         self.held[key] = None
         self.released.append((router, key))
         await router.claims.record(token, errors.Outcome.NOT_RUN)
@@ -160,8 +160,8 @@
 
     async def kill(self, index):
         router = self.router(index)
-        # a release that was still queued dies with its router
-        self.lost |= {key for one, key in self.released if one is router}
+        # a release that is still queued is lost with its router
+        self.lost |= {key for owner, key in self.released if owner is router}
         self.fleet.kill(router.name, self.nursery)
         await self.fleet.start(self.nursery)
 
@@ -171,40 +171,40 @@
     async def wait(self, seconds):
         await trio.sleep(seconds)
 
-    async def last(self, key):
-        """Once all is well, every key gets an answer that fits."""
-        got = await self.one(self.router(0), key, 30.0)
-        assert got is not None
-        known = key in self.finished or key in self.lost
-        fresh = not known and self.held.get(key) is None
-        assert isinstance(got, claims.Claimed) or not fresh
+    async def check_final_claim(self, key):
+        """Checks that a key gets a valid result after all faults ended."""
+        result = await self.claim_and_check(self.router(0), key, 30.0)
+        assert result is not None
+        may_be_claimed = key in self.finished or key in self.lost
+        unclaimed = not may_be_claimed and self.held.get(key) is None
+        assert isinstance(result, claims.Claimed) or not unclaimed
 
 
-def play_claims(steps, make=claims_module.Claims):
-    fleets.virtual(1, functools.partial(ClaimStory(make).play, steps))
+def run_claims(steps, make=claims_module.Claims):
+    fleets.virtual(1, functools.partial(ClaimScenario(make).run, steps))
 
 
 class UnconfirmedShard(claim_shards.Shard):
-    """Takes its ownership for exclusive: answers before the log does."""
+    """Assumes exclusive ownership: answers without appending to the log."""
 
     async def append_confirmed(self, number, value):
         return log.Entry(number, value)
 
 
-def test_stories_find_owners_that_trust_themselves(monkeypatch):
+def test_scenarios_detect_claims_granted_without_the_log(monkeypatch):
     monkeypatch.setattr(claim_shards, 'Shard', UnconfirmedShard)
-    story = [('claim', index, 0) for index in range(ROUTERS)]
-    story += [('kill', index) for index in range(ROUTERS)]
-    story += [('claim', index, 0) for index in range(ROUTERS)]
-    story += [('wait', 3.0)]
+    steps = [('claim', index, 0) for index in range(ROUTERS)]
+    steps += [('kill', index) for index in range(ROUTERS)]
+    steps += [('claim', index, 0) for index in range(ROUTERS)]
+    steps += [('wait', 3.0)]
     with pytest.RaisesGroup(AssertionError, flatten_subgroups=True):
-        play_claims(story)
+        run_claims(steps)
 
 
 @SETTINGS
 @hypothesis.given(CLAIM_STEPS)
-def test_claims_hold_in_random_stories(steps):
-    play_claims(steps)
+def test_claims_hold_in_random_scenarios(steps):
+    run_claims(steps)
 
 
 CONFIGURATION_STEPS = strategies.lists(
@@ -223,8 +223,8 @@
 )
 
 
-class ConfigurationStory:
-    """Routers accept changes and follow; the log is the model."""
+class ConfigurationScenario:
+    """Routers accept and follow configuration; the log is the model."""
 
     def __init__(self):
         self.store = fakes.service()
@@ -237,7 +237,7 @@
         self.newest = dict.fromkeys(self.names, 0)
         self.count = 0
 
-    async def play(self, steps):
+    async def run(self, steps):
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             for name in self.names:
@@ -245,11 +245,11 @@
             for name, *arguments in steps:
                 await getattr(self, name)(*arguments)
                 await trio.sleep(0.001)
-                self.look()
+                self.check_chains()
             self.network.cut.clear()
             self.store.fault(outage=False, lost_answers=0, lost_requests=0)
             await trio.sleep(30)
-            self.look()
+            self.check_chains()
             await self.compare()
             nursery.cancel_scope.cancel()
 
@@ -266,15 +266,15 @@
         self.newest[name] = 0
         self.scopes[name] = fakes.start_parts(self.nursery, link, follower)
 
-    def look(self):
+    def check_chains(self):
         for name, follower in self.followers.items():
             number = follower.chain.number
             assert number >= self.newest[name], 'went back'
             self.newest[name] = number
             if number:
                 digest = follower.current().digest
-                known = self.seen.setdefault(number, digest)
-                assert known == digest, 'two documents for one revision'
+                expected = self.seen.setdefault(number, digest)
+                assert expected == digest, 'two documents for one revision'
 
     async def accept(self, index):
         self.nursery.start_soon(self.change, self.names[index])
@@ -325,14 +325,14 @@
         lines = {line.reason: line for line in await log.history()}
         for reason, number in self.accepted.items():
             if number == 0:
-                assert reason not in lines, 'told refused, yet accepted'
+                assert reason not in lines, 'reported as refused, but accepted'
             elif number is not None:
-                assert lines[reason].number == number, 'accepted, yet lost'
+                assert lines[reason].number == number, 'accepted, but lost'
         for follower in self.followers.values():
             assert follower.chain.number == len(lines)
 
 
 @SETTINGS
 @hypothesis.given(CONFIGURATION_STEPS)
-def test_configuration_holds_in_random_stories(steps):
-    fleets.virtual(1, functools.partial(ConfigurationStory().play, steps))
+def test_configuration_holds_in_random_scenarios(steps):
+    fleets.virtual(1, functools.partial(ConfigurationScenario().run, steps))
--- a/tests/test_coordination/test_dispatch_once.py
+++ b/tests/test_coordination/test_dispatch_once.py
@@ -92,7 +92,7 @@
     assert len(runs) == 1
 
 
-async def test_outcome_is_recorded_after_the_caller_disconnects():
+async def test_outcome_is_recorded_after_a_disconnect():
     # The caller disconnects while the service runs the request. The request
     # runs to its end, and the next copy gets its outcome.
     async with path_fakes.running() as path:
@@ -107,7 +107,7 @@
     assert len(service.log.records) == 1
 
 
-async def test_outcome_is_recorded_after_the_caller_disconnects_during_the_claim():
+async def test_outcome_is_recorded_after_a_disconnect_during_the_claim():
     # The caller disconnects while the claim is being committed. If the
     # request were cancelled, the claim would have no outcome: the next copy
     # would wait and get "unknown" although nothing ran.
