--- a/lavenderbend/coordination/claims/outcomes.py
+++ b/lavenderbend/coordination/claims/outcomes.py
@@ -123,7 +123,7 @@
         if await self.send_request(request, self.failed_requests.get(shard, 0)):
             self.failed_requests.pop(shard, None)
             return
-        # the next by rank; the owner that did not commit may be gone
+        # the next by rank; the owner that did not commit may have crashed
         self.failed_requests[shard] = self.failed_requests.get(shard, 0) + 1
         self.queue.setdefault(shard, [])[:0] = lines
         self.queued.set()
--- a/lavenderbend/coordination/claims/shards.py
+++ b/lavenderbend/coordination/claims/shards.py
@@ -269,7 +269,7 @@
                 secrets.token_bytes(BATCH_ID_BYTES),
                 self.clock(),
                 tuple(pending.line for pending in batched),
-                tuple(line for item in outcomes for line in item.lines),
+                tuple(line for pending in outcomes for line in pending.lines),
             )
         )
         for pending in batched:
--- a/lavenderbend/coordination/dispatch/answers.py
+++ b/lavenderbend/coordination/dispatch/answers.py
@@ -95,4 +95,4 @@
             scope.shield = True
             if self.exchange is not None:
                 await self.exchange.abandon()
-        self.note_end(errors.CallerGone('the caller went away'))
+        self.note_end(errors.CallerGone('the caller disconnected'))
--- a/lavenderbend/coordination/dispatch/bodies.py
+++ b/lavenderbend/coordination/dispatch/bodies.py
@@ -101,7 +101,7 @@
         self.relayed = False
 
     async def next_piece(self) -> bytes | None:
-        """Returns the whole body, then None."""
+        """Returns the complete body, then None."""
         if self.relayed:
             return None
         body = await self.read_whole()
@@ -111,7 +111,7 @@
         return body
 
     async def read_whole(self) -> bytes:
-        """Returns the whole body."""
+        """Returns the complete body."""
         parts = []
         size = 0
         while (data := await self.receive()) is not None:
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -104,7 +104,7 @@
         try:
             return await self.route(request, decision, chat, hop, finish)
         except trio.Cancelled:
-            finish(errors.CallerGone('the caller went away'))
+            finish(errors.CallerGone('the caller disconnected'))
             raise
         except BaseException as exc:
             finish(exc)
--- a/tests/test_coordination/test_agreed_marks.py
+++ b/tests/test_coordination/test_agreed_marks.py
@@ -9,7 +9,7 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination.claims import shards
-from lavenderbend.coordination.claims import waiting
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.coordination.configuration import (
     follower as configuration_follower,
 )
@@ -67,7 +67,7 @@
         store,
         '/claims/',
         random.Random(name),
-        waiting.ShardPolicy(),
+        commit_queue.ShardPolicy(),
         clock=trio.current_time,
     )
 
