--- a/lavenderbend/coordination/leases.py
+++ b/lavenderbend/coordination/leases.py
@@ -73,7 +73,9 @@
             LeaseLost: The lease is not held, or not for that time.
         """
         if self.seconds_left() <= seconds:
-            raise errors.LeaseLost(f'{self.key}: {self.seconds_left():.1f} s left')
+            raise errors.LeaseLost(
+                f'{self.key}: {self.seconds_left():.1f} s left'
+            )
 
     async def acquire(self) -> None:
         """Waits until the lease is held."""
--- a/tests/test_coordination/test_agreed_marks.py
+++ b/tests/test_coordination/test_agreed_marks.py
@@ -8,8 +8,8 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.claims import shards
 from lavenderbend.coordination.claims import commit_queue
+from lavenderbend.coordination.claims import shards
 from lavenderbend.coordination.configuration import (
     follower as configuration_follower,
 )
@@ -92,14 +92,14 @@
 
     held.kind = kind
     if kind == 'read':
-        one.refresh()
+        one.request_reading()
     else:
         nursery.start_soon(one.claim, claim_line(OTHER_KEY, 3), deadline)
     await held.held.wait()
     held.kind = None
     not_run = errors.Outcome.NOT_RUN
     release = claims.OutcomeLine(KEY, first.token, not_run, None)
-    two.refresh()
+    two.request_reading()
     assert await two.record((release,), deadline)
     states = []
 
