--- a/lavenderbend/coordination/claims/claims.py
+++ b/lavenderbend/coordination/claims/claims.py
@@ -149,7 +149,11 @@
     def interpret_reply(
         self, reply: messages.ClaimAnswer, token: claims.ClaimToken
     ) -> claims.Claimed | claims.Recorded:
-        """Converts an owner's reply; raises if the key was reused."""
+        """Converts the reply of an owner to the result of `claim`.
+
+        Raises:
+            IdempotencyKeyReused: The key was used with another body before.
+        """
         claim_requester.CLAIM_RESULTS.inc({'result': reply.state})
         state = claims.ClaimState(reply.state)
         if state is claims.ClaimState.CLAIMED:
