--- a/lavenderbend/coordination/claims/claims.py
+++ b/lavenderbend/coordination/claims/claims.py
@@ -1,4 +1,4 @@
-"""At most once: claims before dispatch, outcomes after it."""
+"""At-most-once execution: a claim before dispatch, an outcome after it."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 import trio
 
 from lavenderbend import errors
-from lavenderbend.coordination.claims import inquiries as claim_inquiries
+from lavenderbend.coordination.claims import commit_queue
 from lavenderbend.coordination.claims import outcomes as claim_outcomes
+from lavenderbend.coordination.claims import requester as claim_requester
 from lavenderbend.coordination.claims import shards as claim_shards
-from lavenderbend.coordination.claims import waiting as claim_waiting
 from lavenderbend.observe import logs
 from lavenderbend.protocol import messages_agreed as messages
 from lavenderbend.state import claims
@@ -28,48 +28,53 @@
     from lavenderbend.protocol import peer
 
 DEFAULT_PREFIX = '/lavenderbend/claims/'
-HOUSEKEEPING_SECONDS = 10.0
-DROP_IDLE_SECONDS = 60.0
-MAX_OWN = 20_000
+MAINTENANCE_SECONDS = 10.0
+IDLE_SHARD_SECONDS = 60.0
+MAX_LOCAL_OUTCOMES = 20_000
 
 
 @attrs.frozen
 class ClaimPolicy:
-    """How claims are kept.
+    """Sharding, retention and time limits of claims.
 
     Attributes:
-        shards: Logs that the claims are spread over; the same on every
-            router, changed only with the whole fleet stopped.
-        retention: Seconds for which a claim is remembered.
-        clock_margin: Seconds by which clocks of routers may differ.
-        gone_seconds: A router missing for so long has stopped running what
-            it claimed; its callers' copies are told 'unknown' at once.
-        shard: How each shard writes.
+        shards: Number of logs that the claims are distributed over. It must
+            be the same on every router and be changed only while the whole
+            fleet is stopped.
+        retention: Seconds for which a claim is kept.
+        clock_margin: Seconds by which the clocks of routers may differ.
+        lost_router_seconds: A router that has been absent from membership
+            for this many seconds no longer runs the requests it claimed;
+            further copies of them get the outcome 'unknown' at once.
+        shard: Write settings of each shard.
     """
 
     shards: int = 1
     retention: float = 3600.0
     clock_margin: float = 300.0
-    gone_seconds: float = 5.0
-    shard: claim_waiting.ShardPolicy = attrs.field(
-        factory=claim_waiting.ShardPolicy
+    lost_router_seconds: float = 5.0
+    shard: commit_queue.ShardPolicy = attrs.field(
+        factory=commit_queue.ShardPolicy
     )
 
 
 class Claims:
-    """Claims on one router: asks owners, and is the owner of its shards.
+    """Claims on one router: client of shard owners, and owner of shards.
 
     Attributes:
         name: Id of this router.
         store: The key-value service.
-        link: Messages to peers.
-        membership: Which routers answer.
-        rng: Source of jitter.
-        policy: How claims are kept.
-        shards: Shards loaded here, by number.
+        link: Sends messages to peers.
+        membership: The routers that are alive.
+        rng: Random source of jitter.
+        policy: Sharding, retention and time limits.
+        shards: Shards loaded on this router, by number.
         outcomes: Outcomes not yet recorded.
-        inquirer: Asks the owners of shards.
-        own: The latest requests claimed here, by key, with their outcomes.
+        requester: Sends claim requests to the owners of shards.
+        local_outcomes: Outcomes of the latest requests claimed by this
+            router, by key.
+        absent_since: Router clock since which a router has been absent from
+            membership, by router.
     """
 
     def __init__(
@@ -94,93 +99,99 @@
         self.shards: dict[int, claim_shards.Shard] = {}
         self.scopes: dict[int, trio.CancelScope] = {}
         self.outcomes = claim_outcomes.OutcomeQueue(link, self.owner, rng)
-        self.inquirer = claim_inquiries.Inquirer(name, link, self.owner, rng)
-        self.own: collections.OrderedDict[bytes, claims.Recorded] = (
+        self.requester = claim_requester.ClaimRequester(
+            name, link, self.owner, rng
+        )
+        self.local_outcomes: collections.OrderedDict[bytes, claims.Recorded] = (
             collections.OrderedDict()
         )
-        self.missing_since: dict[str, float] = {}
+        self.absent_since: dict[str, float] = {}
         self.nursery: trio.Nursery | None = None
         link.handle(messages.ClaimAsk, self.on_claim)
-        link.handle(messages.ClaimLook, self.on_look)
+        link.handle(messages.ClaimLook, self.on_lookup)
         link.handle(messages.OutcomesSay, self.on_outcomes)
 
     async def claim(
         self, customer: str, key: str, body_digest: bytes, deadline: float
     ) -> claims.Claimed | claims.Recorded:
-        """Claims a request, or tells what became of its first copy.
+        """Claims a request, or returns the outcome of its first copy.
 
         Waits while the first copy runs, up to the deadline.
 
         Raises:
-            ClaimUnavailable: Not claimed; the request must not be run and
+            ClaimUnavailable: Not claimed. The request must not be run, and
                 its caller may be told 'not run'.
-            IdempotencyKeyReused: The key came with another body before.
+            IdempotencyKeyReused: The key was used with another body before.
         """
         hashed = claims.key_hash(customer, key)
         shard = claims.shard_of(hashed, self.policy.shards)
         token = claims.ClaimToken(
             shard, hashed, secrets.token_bytes(claims.TOKEN_BYTES)
         )
-        # a hash of the digest, so that digests of any length may come
+        # hashed again, so that digests of any length are accepted
         digest = claims.key_hash('', body_digest.hex())
-        inquiry = claim_inquiries.Inquiry(
+        claim_request = claim_requester.ClaimRequest(
             token,
             digest[: claims.DIGEST_BYTES],
             deadline,
             self.policy.shards,
         )
         try:
-            answer = await self.inquirer.decided(inquiry)
+            reply = await self.requester.resolve(claim_request)
         except BaseException:
-            # whoever gives up must free the key: the claim may stand in
-            # the log, or come to stand there later
-            if inquiry.unsure:
+            # a request that is abandoned must release its key: the claim
+            # may be in the log, or be written to it later
+            if claim_request.may_be_committed:
                 self.release(token)
             raise
-        return self.conclude(answer, token)
+        return self.interpret_reply(reply, token)
 
-    def conclude(
-        self, answer: messages.ClaimAnswer, token: claims.ClaimToken
+    def interpret_reply(
+        self, reply: messages.ClaimAnswer, token: claims.ClaimToken
     ) -> claims.Claimed | claims.Recorded:
-        """Returns what the answer of an owner means to the asker."""
-        claim_inquiries.CLAIMS.inc({'result': answer.state})
-        state = claims.ClaimState(answer.state)
+        """Converts the reply of an owner to the result of `claim`.
+
+        Raises:
+            IdempotencyKeyReused: The key was used with another body before.
+        """
+        claim_requester.CLAIM_RESULTS.inc({'result': reply.state})
+        state = claims.ClaimState(reply.state)
         if state is claims.ClaimState.CLAIMED:
-            self.remember(token, errors.Outcome.UNKNOWN, None)
+            self.note_local_outcome(token, errors.Outcome.UNKNOWN, None)
             return claims.Claimed(token)
         if state is claims.ClaimState.REUSED:
             raise errors.IdempotencyKeyReused(
-                'the Idempotency-Key was used with another body'
+                'the Idempotency-Key was already used with another body'
             )
         if state is claims.ClaimState.RECORDED:
-            outcome = errors.Outcome(answer.outcome)
-            return claims.Recorded(outcome, answer.status)
+            outcome = errors.Outcome(reply.outcome)
+            return claims.Recorded(outcome, reply.status)
         return claims.Recorded(errors.Outcome.UNKNOWN)
 
-    async def on_look(
-        self, router: str, look: messages.ClaimLook
+    async def on_lookup(
+        self, router: str, lookup: messages.ClaimLook
     ) -> peer.Message:
-        """Answers from what is known here without asking the service."""
-        own = self.own.get(look.key)
-        if own is not None:
+        """Answers from local state, without a call to the service."""
+        local_outcome = self.local_outcomes.get(lookup.key)
+        if local_outcome is not None:
             return messages.ClaimAnswer(
                 claims.ClaimState.RECORDED.value,
-                own.outcome.value,
-                own.status,
+                local_outcome.outcome.value,
+                local_outcome.status,
             )
-        shard = self.shards.get(look.shard)
+        shard = self.shards.get(lookup.shard)
         if shard is None:
             return messages.ClaimAnswer(claims.ClaimState.ABSENT.value)
-        state = shard.table.state(look.key, look.token, look.digest)
+        state = shard.table.state(lookup.key, lookup.token, lookup.digest)
         if state is claims.ClaimState.RECORDED:
-            return self.recorded(shard, look.key)
+            return self.recorded_reply(shard, lookup.key)
         return messages.ClaimAnswer(state.value)
 
-    def owner(self, shard: int, tries: int = 0) -> str:
-        """Returns the router to ask, the next by rank after each try."""
+    def owner(self, shard: int, rank: int = 0) -> str:
+        """Returns the router at a rank in the rendezvous order of a shard."""
         routers = set(self.membership.routers()) | {self.name}
         order = hashing.rendezvous_order(f'claims {shard}', routers)
-        return order[tries % len(order)]
+        return order[rank % len(order)]
 
     async def record(
         self,
@@ -189,24 +200,24 @@
         status: int | None = None,
     ) -> None:
         """Queues the outcome of a claimed request; does not wait."""
-        self.remember(token, outcome, status)
+        self.note_local_outcome(token, outcome, status)
         self.outcomes.add(token, outcome, status)
 
-    def remember(
+    def note_local_outcome(
         self,
         token: claims.ClaimToken,
         outcome: errors.Outcome,
         status: int | None,
     ) -> None:
-        """Notes what became of a request that was claimed here."""
-        self.own.pop(token.key, None)
+        """Stores the outcome of a request that this router claimed."""
+        self.local_outcomes.pop(token.key, None)
         if outcome is not errors.Outcome.NOT_RUN:
-            self.own[token.key] = claims.Recorded(outcome, status)
-        while len(self.own) > MAX_OWN:
-            self.own.popitem(last=False)
+            self.local_outcomes[token.key] = claims.Recorded(outcome, status)
+        while len(self.local_outcomes) > MAX_LOCAL_OUTCOMES:
+            self.local_outcomes.popitem(last=False)
 
     def release(self, token: claims.ClaimToken) -> None:
-        """Queues the end of a claim that will never be run."""
+        """Queues the release of a claim whose request will not be run."""
         self.outcomes.add(token, errors.Outcome.NOT_RUN, None)
 
     async def drain(self) -> None:
@@ -218,84 +229,90 @@
         async with trio.open_nursery() as nursery:
             self.nursery = nursery
             nursery.start_soon(self.outcomes.run)
-            nursery.start_soon(self.keep_house)
-            nursery.start_soon(self.load_owned)
+            nursery.start_soon(self.run_maintenance)
+            nursery.start_soon(self.load_owned_shards)
 
     async def on_claim(
-        self, router: str, ask: messages.ClaimAsk
+        self, router: str, request: messages.ClaimAsk
     ) -> peer.Message:
-        """Commits a peer's claim, or waits with it for the first copy."""
-        deadline = trio.current_time() + ask.patience
+        """Commits a peer's claim, or waits for its first copy's outcome."""
+        deadline = trio.current_time() + request.patience
         shard = None
-        if ask.shards == self.policy.shards:
-            shard = self.shard(ask.shard)
+        if request.shards == self.policy.shards:
+            shard = self.ensure_shard(request.shard)
         if shard is None:
             return messages.ClaimAnswer(claims.ClaimState.UNDECIDED.value)
-        line = claims.ClaimLine(ask.key, ask.token, ask.digest, router)
+        line = claims.ClaimLine(
+            request.key, request.token, request.digest, router
+        )
         state = await shard.claim(line, deadline)
         if state is claims.ClaimState.RUNNING:
-            state = await self.wait_for_first(shard, line, deadline)
+            state = await self.wait_for_first_copy(shard, line, deadline)
         if state is not claims.ClaimState.RECORDED:
             return messages.ClaimAnswer(state.value)
-        return self.recorded(shard, ask.key)
+        return self.recorded_reply(shard, request.key)
 
-    def recorded(
+    def recorded_reply(
         self, shard: claim_shards.Shard, key: bytes
     ) -> messages.ClaimAnswer:
-        """Returns the recorded outcome, unknown while there is none."""
+        """Returns the recorded outcome, 'unknown' while there is none."""
         state = claims.ClaimState.RECORDED.value
         held = shard.table.held.get(key)
         if held is None or held.outcome is None:
             return messages.ClaimAnswer(state, errors.Outcome.UNKNOWN.value)
         return messages.ClaimAnswer(state, held.outcome.value, held.status)
 
-    async def wait_for_first(
+    async def wait_for_first_copy(
         self,
         shard: claim_shards.Shard,
         line: claims.ClaimLine,
         deadline: float,
     ) -> claims.ClaimState:
-        """Waits while the first copy runs on a router that is there."""
+        """Waits while the first copy runs on a router that is not lost."""
         held = shard.table.held.get(line.key)
-        if held is not None and self.gone(held.entry):
+        if held is not None and self.is_lost(held.entry):
             return claims.ClaimState.RECORDED
-        await shard.outcome(line.key, deadline)
+        await shard.wait_for_outcome(line.key, deadline)
         state = shard.table.state(line.key, line.token, line.digest)
         if state is claims.ClaimState.RUNNING:
-            # the outcome may stand in the log by another owner's hand
-            shard.refresh()
+            # another owner may have written the outcome to the log
+            shard.request_reading()
         if state is claims.ClaimState.ABSENT:
-            # released, so the asker is to claim it again
+            # released, so the requesting router is to claim it again
             return claims.ClaimState.RUNNING
         return state
 
-    def gone(self, router: str) -> bool:
-        """Returns whether a router has been missing for long enough."""
+    def is_lost(self, router: str) -> bool:
+        """Returns whether a router has been absent for too long."""
         now = trio.current_time()
         if router in self.membership.routers() or router == self.name:
-            self.missing_since.pop(router, None)
+            self.absent_since.pop(router, None)
             return False
-        since = self.missing_since.setdefault(router, now)
-        return now - since >= self.policy.gone_seconds
+        since = self.absent_since.setdefault(router, now)
+        return now - since >= self.policy.lost_router_seconds
 
     async def on_outcomes(
-        self, router: str, say: messages.OutcomesSay
+        self, router: str, request: messages.OutcomesSay
     ) -> peer.Message:
-        """Commits the outcomes that a peer brings."""
-        shard = self.shard(say.shard)
+        """Commits the outcomes that a peer sends."""
+        shard = self.ensure_shard(request.shard)
         if shard is None:
             return messages.OutcomesAnswer(False)
         lines = tuple(
             claims.OutcomeLine(key, token, errors.Outcome(outcome), status)
             for key, token, outcome, status in zip(
-                say.keys, say.tokens, say.outcomes, say.statuses, strict=True
+                request.keys,
+                request.tokens,
+                request.outcomes,
+                request.statuses,
+                strict=True,
             )
         )
-        deadline = trio.current_time() + say.patience
+        deadline = trio.current_time() + request.patience
         return messages.OutcomesAnswer(await shard.record(lines, deadline))
 
-    def shard(self, number: int) -> claim_shards.Shard | None:
-        """Returns a shard, started here if it was not; None if stopped."""
+    def ensure_shard(self, number: int) -> claim_shards.Shard | None:
+        """Returns a shard, started if necessary; None if not running."""
         if number in self.shards:
             return self.shards[number]
         if self.nursery is None:
@@ -309,7 +326,7 @@
             self.clock,
             self.policy.shards,
         )
-        shard.used_at = trio.current_time()
+        shard.last_used_at = trio.current_time()
         self.shards[number] = shard
         self.scopes[number] = trio.CancelScope()
         self.nursery.start_soon(self.run_shard, shard)
@@ -321,35 +338,35 @@
         with self.scopes[shard.number]:
             await shard.run()
 
-    async def load_owned(self) -> None:
-        """Loads the shards that fall to this router before they are asked."""
+    async def load_owned_shards(self) -> None:
+        """Loads owned shards before the first request for them arrives."""
         while True:
             for number in range(self.policy.shards):
                 if self.owner(number) == self.name:
-                    self.shard(number)
+                    self.ensure_shard(number)
             await self.membership.wait_changed()
 
-    async def keep_house(self) -> None:
-        """Compacts owned shards and drops those no longer used."""
+    async def run_maintenance(self) -> None:
+        """Compacts owned shards and stops idle ones owned by other routers."""
         while True:
-            await trio.sleep(HOUSEKEEPING_SECONDS)
+            await trio.sleep(MAINTENANCE_SECONDS)
             for shard in list(self.shards.values()):
                 if self.owner(shard.number) == self.name:
                     await self.compact(shard)
-                elif self.idle(shard):
+                elif self.is_idle(shard):
                     del self.shards[shard.number]
                     self.scopes.pop(shard.number).cancel()
 
-    def idle(self, shard: claim_shards.Shard) -> bool:
-        """Returns whether nobody needs the shard here."""
+    def is_idle(self, shard: claim_shards.Shard) -> bool:
+        """Returns whether the shard is unused on this router."""
         if shard.queue.claims or shard.queue.outcomes:
             return False
-        return trio.current_time() - shard.used_at >= DROP_IDLE_SECONDS
+        return trio.current_time() - shard.last_used_at >= IDLE_SHARD_SECONDS
 
     async def compact(self, shard: claim_shards.Shard) -> None:
-        """Compacts a shard; a failure leaves it for the next time."""
-        kept = self.policy.retention + self.policy.clock_margin
+        """Compacts a shard; after a failure the next run tries again."""
+        retained_seconds = self.policy.retention + self.policy.clock_margin
         try:
-            await shard.compact(kept)
+            await shard.compact(retained_seconds)
         except errors.KeyValueError:
             return
--- a/lavenderbend/coordination/dispatch/attempts.py
+++ b/lavenderbend/coordination/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""One try at an upstream, from its permit to its end."""
+"""One attempt at an upstream, from its permit to its end."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from collections.abc import Mapping
 
     from lavenderbend.coordination import interfaces
-    from lavenderbend.coordination.dispatch import parts as parts_module
+    from lavenderbend.coordination.dispatch import components as component_types
     from lavenderbend.coordination.dispatch import relay
     from lavenderbend.state import requests
 
@@ -29,27 +29,27 @@
 
 
 class Attempt:
-    """One try at an upstream.
+    """One attempt at an upstream.
 
     Attributes:
-        parts: The collaborators.
-        request: What is sent.
-        permit: The leave to send it.
-        record: What the decision keeps of it.
-        answer: The upstream's answer once its head has come.
-        body: Reads that answer.
+        components: Components of the request path.
+        request: The request that is sent.
+        permit: The permit to send it.
+        record: Record of the attempt in the decision.
+        answer: The upstream's answer once its head has been received.
+        body: Reader of the answer's body.
         reported_instance: Instance id in the last load report.
-        settled: Whether the permit is back and the result is noted.
+        finished: Whether the permit is released and the result is recorded.
     """
 
     def __init__(
         self,
-        parts: parts_module.Parts,
+        components: component_types.Components,
         request: requests.Request,
         permit: interfaces.Permit,
         span: spans.Hop,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.request = request
         self.permit = permit
         self.record = decisions.Attempt(
@@ -65,14 +65,14 @@
         self.hop.note('upstream', permit.upstream.id)
         self.answer: interfaces.UpstreamAnswer | None = None
         self.body: bodies.Body | None = None
-        self.settled = False
-        report = parts.membership.report(permit.upstream.id)
+        self.finished = False
+        report = components.membership.report(permit.upstream.id)
         self.reported_instance = '' if report is None else report.instance
-        parts.open_attempts[permit.upstream.id] += 1
+        components.open_attempts[permit.upstream.id] += 1
 
     @property
     def instance(self) -> str:
-        """Instance id that the upstream stated, empty if none."""
+        """Instance id given by the upstream, empty if none."""
         if self.answer is not None and self.answer.start.instance:
             return self.answer.start.instance
         return self.reported_instance
@@ -84,67 +84,71 @@
     ) -> None:
         """Sends the request and reads the head of the answer.
 
-        The caller bounds the time.
+        The timeout is set by the caller of this method.
         """
-        sent = {**headers, **self.hop.headers}
-        self.answer = await self.parts.upstream_client.open(
+        upstream_headers = {**headers, **self.hop.headers}
+        self.answer = await self.components.upstream_client.open(
             self.permit.upstream,
             self.request,
-            sent,
+            upstream_headers,
             math.inf,
         )
-        self.body = self.choose_body(self.answer, check)
+        self.body = self.body_reader(self.answer, check)
 
-    def choose_body(
+    def body_reader(
         self, answer: interfaces.UpstreamAnswer, check: relay.StreamCheck
     ) -> bodies.Body:
-        """Returns the reader that fits the answer."""
-        limits = self.parts.settings.answers
+        """Returns the reader for this kind of answer."""
+        limits = self.components.settings.answers
         engine = self.permit.upstream.kind is upstreams.UpstreamKind.ENGINE
         chat = engine and self.request.path == openai.CHAT_PATH
-        whole = 200 <= answer.start.status < 300
-        if chat and whole and self.request.stream:
-            if not bodies.is_stream(answer.start):
-                raise errors.UpstreamBroke('the answer is no stream')
-            return bodies.StreamBody(answer, limits, check, self.parts.pacer)
-        if chat and whole:
-            name = self.parts.answer_name(self.request.id)
-            return bodies.HeldBody(answer, limits, chat=True, named_by=name)
-        length = bodies.stated_length(answer.start)
-        if length is not None and length <= self.parts.settings.held_bytes:
-            return bodies.HeldBody(answer, limits, chat=False)
+        successful = 200 <= answer.start.status < 300
+        if chat and successful and self.request.stream:
+            if not bodies.is_event_stream(answer.start):
+                raise errors.UpstreamBroke('the answer is not an event stream')
+            return bodies.StreamBody(
+                answer, limits, check, self.components.pacer
+            )
+        if chat and successful:
+            name = self.components.expected_answer_id(self.request.id)
+            return bodies.BufferedBody(
+                answer, limits, chat=True, expected_id=name
+            )
+        length = bodies.content_length(answer.start)
+        if length is not None and length <= self.components.settings.held_bytes:
+            return bodies.BufferedBody(answer, limits, chat=False)
         return bodies.Body(answer, limits)
 
     async def next_piece(self) -> bytes | None:
-        """Returns bytes to pass on, None when the answer is whole."""
+        """Returns bytes to relay, None when the answer is complete."""
         assert self.body is not None
         piece = await self.body.next_piece()
         if self.record.first_byte is None:
             self.record.first_byte = trio.current_time() - self.record.started
         return piece
 
-    async def settle(self, result: str, error: Exception | None) -> None:
-        """Gives the permit back and notes how it went, once."""
-        if self.settled:
+    async def finish(self, result: str, error: Exception | None) -> None:
+        """Releases the permit and records the result, once."""
+        if self.finished:
             return
-        self.settled = True
-        self.parts.open_attempts[self.permit.upstream.id] -= 1
+        self.finished = True
+        self.components.open_attempts[self.permit.upstream.id] -= 1
         self.record.result = result
         self.record.finished = trio.current_time() - self.record.started
         self.hop.end('' if result == COMPLETE else result)
-        # the exchange ends before the permit goes back, so that the
-        # upstream is not given new work while it still does the old
+        # the exchange ends before the permit is released, so that the
+        # upstream gets no new request while it still runs this one
         if self.answer is not None:
             await self.answer.close()
-        self.parts.admission.release(self.permit, result)
-        # a caller that went away says nothing about the upstream
+        self.components.admission.release(self.permit, result)
+        # a caller that disconnected says nothing about the upstream's health
         if error is not None or result == COMPLETE:
             self.note_result(error)
 
     def note_result(self, error: Exception | None) -> None:
-        """Tells membership how the upstream did."""
+        """Reports the result of the upstream to membership."""
         upstream = self.permit.upstream.id
         if isinstance(error, errors.UpstreamRefused):
-            self.parts.membership.note_draining(upstream)
+            self.components.membership.note_draining(upstream)
             return
-        self.parts.membership.note_result(upstream, error)
+        self.components.membership.note_result(upstream, error)
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The path of each request through a router."""
+"""The path of a request through a router."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination.dispatch import answers
-from lavenderbend.coordination.dispatch import exchange
-from lavenderbend.coordination.dispatch import once
+from lavenderbend.coordination.dispatch import at_most_once
+from lavenderbend.coordination.dispatch import components as component_types
+from lavenderbend.coordination.dispatch import exchange as exchange_module
 from lavenderbend.coordination.dispatch import pacing
-from lavenderbend.coordination.dispatch import parts as parts_module
 from lavenderbend.coordination.dispatch import records
 from lavenderbend.coordination.dispatch import rule_limits
 from lavenderbend.observe import spans
@@ -33,48 +33,47 @@
     from lavenderbend.state import decisions
     from lavenderbend.state import requests
 
-LENGTH = 'content-length'
+CONTENT_LENGTH = 'content-length'
 OK = 200
 
 
 class Dispatcher:
-    """Takes requests through rules, permits and attempts to an answer.
+    """Processes requests: rules, limits, permits, attempts, answer.
 
     Attributes:
         name: Id of this router.
         configurations: The accepted configuration.
         rules: Finds the rule of a request.
-        claims: The claims log, or None: then non-idempotent requests are
-            refused.
+        claims: The claims log. If None, non-idempotent requests are refused.
         limits: Limits of the customers, or None.
-        parts: The collaborators of the attempts.
+        components: Components of the request path.
         rule_limits: Limits that rules set.
-        in_progress: Requests that have not ended.
+        in_progress: Number of requests that have not ended.
     """
 
     def __init__(
         self,
         name: str,
         configurations: interfaces.Configurations,
-        rules: parts_module.Rules,
+        rules: component_types.Rules,
         admission: interfaces.Admission,
         upstream_client: interfaces.UpstreamClient,
         membership: interfaces.Membership,
         claims: Any | None,
         quarantine: Any | None,
-        limits: parts_module.CustomerLimits | None,
+        limits: component_types.CustomerLimits | None,
         decisions: decisions.DecisionStore,
         retry_budgets: MutableMapping[str, retries.RetryBudget] | None,
         rng: random.Random,
-        settings: parts_module.DispatchSettings | None = None,
+        settings: component_types.DispatchSettings | None = None,
     ) -> None:
         self.name = name
         self.configurations = configurations
         self.rules = rules
         self.claims = claims
         self.limits = limits
-        settings = settings or parts_module.DispatchSettings()
-        self.parts = parts_module.Parts(
+        settings = settings or component_types.DispatchSettings()
+        self.components = component_types.Components(
             admission=admission,
             upstream_client=upstream_client,
             membership=membership,
@@ -89,23 +88,23 @@
         self.in_progress = 0
 
     async def dispatch(self, request: requests.Request) -> answers.Answer:
-        """Returns the answer to a request, its first piece already here.
+        """Returns the answer to a request once its first piece is received.
 
         Raises:
-            RequestError: There is none; it says what the caller may
-                conclude.
+            RequestError: There is no answer; the error tells the caller
+                whether the request may have run.
         """
         chat = chat_hash(request)
         decision = records.begin(request, chat)
         hop = spans.Hop('dispatch', request.headers, trace.SpanKind.INTERNAL)
         hop.note('request.id', request.id)
         finish = functools.partial(self.finish, request, decision, hop)
-        self.parts.decisions.add(decision)
+        self.components.decisions.add(decision)
         self.in_progress += 1
         try:
             return await self.route(request, decision, chat, hop, finish)
         except trio.Cancelled:
-            finish(errors.CallerGone('the caller went away'))
+            finish(errors.CallerGone('the caller disconnected'))
             raise
         except BaseException as exc:
             finish(exc)
@@ -119,7 +118,7 @@
         hop: spans.Hop,
         finish: Any,
     ) -> answers.Answer:
-        """Finds the rule and runs the request as it says."""
+        """Finds the rule of a request and runs the request by it."""
         revision = self.configurations.current()
         rule = self.find_rule(revision, request, decision)
         if self.limits is not None:
@@ -127,18 +126,18 @@
         self.rule_limits.check(rule, request.customer)
         sent = apply_rule(rule, request)
         fingerprint = self.check_quarantine(sent)
-        run = exchange.Exchange(
-            self.parts, sent, rule, decision, fingerprint, chat, hop
+        exchange = exchange_module.Exchange(
+            self.components, sent, rule, decision, fingerprint, chat, hop
         )
         if not rule.then.idempotent:
-            return await self.run_once(run, finish)
+            return await self.run_once(exchange, finish)
         self.note_request(decision.pool)
-        first = await run.begin()
-        start = run.attempt.answer.start
-        length = run.held_length(first)
+        first = await exchange.begin()
+        start = exchange.attempt.answer.start
+        length = exchange.buffered_length(first)
         headers = answer_headers(start, self.name, length)
         return answers.Answer(
-            start.status, headers, decision.id, first, run, finish
+            start.status, headers, decision.id, first, exchange, finish
         )
 
     def find_rule(
@@ -147,7 +146,7 @@
         request: requests.Request,
         decision: decisions.Decision,
     ) -> configuration.Rule:
-        """Returns the first rule that matches, if it does not reject."""
+        """Returns the first rule that matches; raises if it rejects."""
         rule = self.rules.match(revision, request)
         if rule is None:
             decision.revision = revision.number
@@ -158,63 +157,69 @@
         return rule
 
     def check_quarantine(self, request: requests.Request) -> int:
-        """Returns the fingerprint of a request that may be sent."""
-        quarantine = self.parts.quarantine
+        """Returns a request's fingerprint; raises if it is quarantined."""
+        quarantine = self.components.quarantine
         if quarantine is None:
             return 0
-        fingerprint = fingerprint_of(request)
+        fingerprint = request_fingerprint(request)
         quarantine.check(fingerprint)
         return fingerprint
 
     def note_request(self, pool: str) -> None:
-        """Counts the traffic that the retry budget is a share of."""
-        budget = self.parts.budget(pool)
+        """Counts a request in the retry budget of its pool."""
+        budget = self.components.budget(pool)
         if budget is not None:
             budget.note_request()
 
     async def run_once(
-        self, run: exchange.Exchange, finish: Any
+        self, exchange: exchange_module.Exchange, finish: Any
     ) -> answers.Answer:
         """Runs a request that may run at most once."""
-        key = once.check_key(run.request)
+        key = at_most_once.check_key(exchange.request)
         if self.claims is None:
             raise errors.ClaimUnavailable(
-                'no claims log', run.parts.settings.retry_after_seconds
+                'no claims log',
+                exchange.components.settings.retry_after_seconds,
             )
-        # a caller that goes away during the claim leaves it committed or not;
-        # going on to the outcome answers its next copy in either case
+        # if the caller disconnects during the claim, the claim may or may not
+        # be committed; continuing to an outcome answers the next copy of the
+        # request in both cases
         with trio.CancelScope(shield=True):
             claim = await self.claims.claim(
-                run.request.customer,
+                exchange.request.customer,
                 key,
-                once.digest(run.request),
-                run.deadline,
+                at_most_once.digest(exchange.request),
+                exchange.deadline,
             )
             if isinstance(claim, claims_state.Recorded):
-                return replay(run, claim, finish)
-            body = await self.run_claimed(run, claim.token)
-        start = run.attempt.answer.start
+                return replay_answer(exchange, claim, finish)
+            body = await self.run_claimed(exchange, claim.token)
+        start = exchange.attempt.answer.start
         headers = answer_headers(start, self.name, len(body))
         return answers.Answer(
-            start.status, headers, run.decision.id, body, None, finish
+            start.status, headers, exchange.decision.id, body, None, finish
         )
 
-    async def run_claimed(self, run: exchange.Exchange, token: Any) -> bytes:
+    async def run_claimed(
+        self, exchange: exchange_module.Exchange, token: Any
+    ) -> bytes:
         """Runs a claimed request and records its outcome.
 
-        Shielded by its caller: without its outcome, the claim would leave
-        every further copy of the request unanswered.
+        Shielded from cancellation by the calling method: a claim without an
+        outcome would leave every further copy of the request unanswered.
         """
         outcome, status = errors.Outcome.UNKNOWN, None
         try:
-            body = await once.run_whole(run)
+            body = await at_most_once.run_to_end(exchange)
             outcome = errors.Outcome.COMPLETE
-            status = run.attempt.answer.start.status
+            status = exchange.attempt.answer.start.status
         except errors.RequestError as exc:
             outcome, status = exc.outcome, exc.status
             raise
         finally:
-            await once.record(self.claims, token, outcome, status)
+            await at_most_once.record_outcome(
+                self.claims, token, outcome, status
+            )
         return body
 
     def finish(
@@ -224,7 +229,7 @@
         hop: spans.Hop,
         error: BaseException | None,
     ) -> None:
-        """Notes the end of a request."""
+        """Records the end of a request."""
         self.in_progress -= 1
         records.end(decision, request.arrived, error)
         hop.end(decision.error)
@@ -237,11 +242,12 @@
     return hashing.hash64(request.customer, request.chat_key)
 
 
-def fingerprint_of(request: requests.Request) -> int:
-    """Returns the hash by which a request is known that crashes upstreams.
+def request_fingerprint(request: requests.Request) -> int:
+    """Returns the hash that identifies a request for the quarantine.
 
-    A caller sends it again with other spaces, or streamed in place of whole:
-    of a chat request only what the engine works on counts.
+    A caller may send a request that crashes upstreams again with other
+    whitespace, or streamed instead of not: of a chat request only the fields
+    that the engine works on are hashed.
     """
     body = request.body
     if request.model is not None:
@@ -252,7 +258,7 @@
 def apply_rule(
     rule: configuration.Rule, request: requests.Request
 ) -> requests.Request:
-    """Returns the request with the model and adapter that the rule gives."""
+    """Returns the request with the model and adapter set by the rule."""
     then = rule.then
     if request.model is None or (then.model is None and then.adapter is None):
         return request
@@ -267,32 +273,36 @@
 def answer_headers(
     start: interfaces.AnswerStart, router: str, length: int | None
 ) -> dict[str, str]:
-    """Returns the headers that go to the caller."""
+    """Returns the headers sent to the caller."""
     headers = dict(start.headers)
-    # the length is that of the bytes passed on, which a further attempt
-    # may make another one
-    headers.pop(LENGTH, None)
+    # the upstream's length is dropped: a further attempt may change the
+    # number of relayed bytes
+    headers.pop(CONTENT_LENGTH, None)
     if length is not None:
-        headers[LENGTH] = str(length)
+        headers[CONTENT_LENGTH] = str(length)
     headers['x-router'] = router
     return headers
 
 
-def replay(
-    run: exchange.Exchange, recorded: claims_state.Recorded, finish: Any
+def replay_answer(
+    exchange: exchange_module.Exchange,
+    recorded: claims_state.Recorded,
+    finish: Any,
 ) -> answers.Answer:
-    """Returns the answer to a further copy of a request that has run.
+    """Returns the answer to a further copy of a request that ran.
 
     Raises:
-        RequestError: The first copy did not end well.
+        RequestError: The first copy failed or its outcome is unknown.
     """
-    once.replays.inc({})
-    once.check_recorded(recorded)
+    at_most_once.replays.inc({})
+    at_most_once.check_recorded(recorded)
     status = recorded.status or OK
-    body = once.replay_body(recorded.outcome, status)
+    body = at_most_once.replay_body(recorded.outcome, status)
     headers = {
         'content-type': 'application/json',
-        LENGTH: str(len(body)),
-        once.REPLAYED: '1',
+        CONTENT_LENGTH: str(len(body)),
+        at_most_once.REPLAYED: '1',
     }
-    return answers.Answer(status, headers, run.decision.id, body, None, finish)
+    return answers.Answer(
+        status, headers, exchange.decision.id, body, None, finish
+    )
--- a/lavenderbend/coordination/dispatch/relay.py
+++ b/lavenderbend/coordination/dispatch/relay.py
@@ -1,4 +1,4 @@
-"""Checks on an answer as it passes through the router."""
+"""Checks of a streamed answer while it is relayed."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 
 
 class StreamCheck:
-    """Checks the events of a streamed chat answer and what was passed on.
+    """Checks the events of a streamed chat answer across attempts.
 
-    Only whole events are passed on, each once and in order. The text that
-    the caller has is remembered as a hash, so that the answer of a further
-    attempt can be compared with it.
+    Only complete events are relayed, each once and in order. A hash of the
+    relayed text is kept, so that the answer of a further attempt can be
+    compared with it.
 
     Attributes:
-        parser: Cuts the bytes into events.
-        max_bytes: Size of the largest event.
-        named_by: Text that the id of the answer must hold.
-        answer_id: Id that the caller saw in the first event.
+        parser: Splits the bytes into events.
+        max_bytes: Size limit of an event.
+        expected_id: Text that the id of the answer must contain.
+        answer_id: Id in the first event that was relayed.
         source_id: Id in the events of the current upstream.
         next_offset: Number that the next event must have, if numbered.
-        events: Events passed on.
-        length: Characters of text passed on.
+        events: Number of events relayed.
+        text_length: Characters of text relayed.
         digest: Hash of that text.
-        comparable: Whether the text says all of what was passed on.
-        finished: Whether an event with a finish reason was passed on.
-        done: Whether the terminator has come.
-        rerun: Whether this upstream answers from the beginning again.
-        skipped: Characters of a further attempt compared so far.
-        skipped_digest: Hash of those.
-        pending: An error that came after events that were passed on.
+        comparable: Whether the text is all that the relayed events contain.
+        finished: Whether an event with a finish reason was relayed.
+        done: Whether the terminator has been received.
+        restarted: Whether this upstream answers from the beginning again.
+        compared_length: Characters of a further attempt compared so far.
+        compared_digest: Hash of those.
+        deferred_error: An error found after events that are still relayed.
     """
 
-    def __init__(self, max_bytes: int, named_by: str = '') -> None:
+    def __init__(self, max_bytes: int, expected_id: str = '') -> None:
         self.max_bytes = max_bytes
-        self.named_by = named_by
+        self.expected_id = expected_id
         self.parser = sse.Parser(max_bytes)
         self.answer_id: str | None = None
         self.source_id: str | None = None
         self.next_offset = 0
         self.events = 0
-        self.length = 0
+        self.text_length = 0
         self.digest = xxhash.xxh3_128()
         self.comparable = True
         self.finished = False
         self.done = False
-        self.rerun = False
-        self.skipped = 0
-        self.skipped_digest = xxhash.xxh3_128()
-        self.pending: errors.UpstreamError | None = None
+        self.restarted = False
+        self.compared_length = 0
+        self.compared_digest = xxhash.xxh3_128()
+        self.deferred_error: errors.UpstreamError | None = None
 
     @property
     def numbered(self) -> bool:
@@ -59,7 +59,7 @@
         return self.next_offset > 0
 
     def continue_at_offset(self) -> None:
-        """Prepares for an upstream that goes on where it broke off."""
+        """Prepares for an upstream that resumes at the next offset."""
         self.parser = sse.Parser(self.max_bytes)
 
     def continue_from_start(self) -> None:
@@ -67,67 +67,67 @@
         self.parser = sse.Parser(self.max_bytes)
         self.source_id = None
         self.next_offset = 0
-        self.rerun = self.events > 0
-        self.skipped = 0
-        self.skipped_digest = xxhash.xxh3_128()
+        self.restarted = self.events > 0
+        self.compared_length = 0
+        self.compared_digest = xxhash.xxh3_128()
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the bytes to pass on after these bytes have come.
+        """Returns the bytes to relay after receiving `data`.
 
         Raises:
-            UpstreamBroke: The bytes are no part of a chat answer.
+            UpstreamBroke: The bytes are not part of a chat answer.
             AnswerMismatch: An event belongs to another answer.
         """
         out: list[bytes] = []
         try:
             self.read_events(data, out)
         except errors.UpstreamError as exc:
-            # the events before the broken one count as passed on, so they
-            # must reach the caller before the error is dealt with
+            # the events before the broken one count as relayed, so they
+            # must be sent to the caller before the error is handled
             if not any(out):
                 raise
-            self.pending = exc
+            self.deferred_error = exc
         return out[0] if len(out) == 1 else b''.join(out)
 
     def read_events(self, data: bytes, out: list[bytes]) -> None:
-        """Adds to `out` what the events in the bytes pass on."""
+        """Appends the bytes to relay of each event in `data` to `out`."""
         for block in self.parser.split(data):
             event = sse.parse_event(block)
             if event.data == sse.DONE:
                 self.check_end()
                 self.done = True
                 out.append(block)
-                # what follows the terminator is no part of the answer
+                # bytes after the terminator are not part of the answer
                 return
-            out.append(self.accept(event))
+            out.append(self.process_event(event))
         self.parser.check_size()
 
-    def raise_pending(self) -> None:
-        """Raises the error that was held back by `feed`, if any."""
-        pending = self.pending
-        if pending is not None:
-            self.pending = None
-            raise pending
+    def raise_deferred_error(self) -> None:
+        """Raises the error that `feed` deferred, if any."""
+        deferred_error = self.deferred_error
+        if deferred_error is not None:
+            self.deferred_error = None
+            raise deferred_error
 
-    def accept(self, event: sse.Event) -> bytes:
-        """Returns the bytes of one event to pass on, which may be none."""
+    def process_event(self, event: sse.Event) -> bytes:
+        """Returns the bytes to relay of one event, which may be empty."""
         if not event.data:
             return b''
         if event.name == b'error':
-            raise errors.UpstreamBroke('the upstream broke off its answer')
+            raise errors.UpstreamBroke('the upstream sent an error event')
         chunk = openai.read_chunk(event.data)
         self.check_id(chunk.id)
-        if event.offset is not None and not self.in_order(event.offset):
+        if event.offset is not None and not self.is_next_event(event.offset):
             return b''
-        if self.rerun:
+        if self.restarted:
             return self.compare(event, chunk)
-        return self.pass_on(event.raw, chunk)
+        return self.relay_event(event.raw, chunk)
 
-    def pass_on(self, raw: bytes, chunk: openai.Chunk) -> bytes:
-        """Remembers an event that goes to the caller."""
+    def relay_event(self, raw: bytes, chunk: openai.Chunk) -> bytes:
+        """Records an event and returns its bytes to relay."""
         self.events += 1
         if chunk.text:
-            self.length += len(chunk.text)
+            self.text_length += len(chunk.text)
             self.digest.update(chunk.text.encode())
         if not chunk.plain:
             self.comparable = False
@@ -136,21 +136,23 @@
         return raw
 
     def check_id(self, source_id: str) -> None:
-        """Checks that all events carry the id of one answer."""
+        """Checks that all events have the id of one answer."""
         if self.source_id is None:
-            # the head carried the right id, but an upstream that mixes up
-            # its streams may begin with somebody else's first event
-            if self.named_by not in source_id:
-                raise errors.AnswerMismatch('an event of another request')
+            # the head had the right id, but an upstream that mixes up its
+            # streams may begin with the first event of another request
+            if self.expected_id not in source_id:
+                raise errors.AnswerMismatch(
+                    'the first event belongs to another request'
+                )
             self.source_id = source_id
             if self.answer_id is None:
                 self.answer_id = source_id
             return
-        # two answers mixed up inside an upstream show as a change of the id
+        # an upstream that mixes up two answers changes the id in mid-stream
         if source_id != self.source_id:
             raise errors.AnswerMismatch('an event belongs to another answer')
 
-    def in_order(self, offset: int) -> bool:
+    def is_next_event(self, offset: int) -> bool:
         """Returns whether the numbered event is new.
 
         Raises:
@@ -164,40 +166,42 @@
         return True
 
     def compare(self, event: sse.Event, chunk: openai.Chunk) -> bytes:
-        """Returns what a further attempt adds to what the caller has."""
-        missing = self.length - self.skipped
+        """Returns the bytes that a further attempt adds to the relayed text."""
+        missing = self.text_length - self.compared_length
         text = chunk.text[:missing]
-        self.skipped += len(text)
-        self.skipped_digest.update(text.encode())
-        if self.skipped == self.length:
-            self.check_same()
+        self.compared_length += len(text)
+        self.compared_digest.update(text.encode())
+        if self.compared_length == self.text_length:
+            self.check_equal_text()
         extra = len(chunk.text) - len(text)
         if extra == 0 and not (chunk.final and not self.finished):
             return b''
         data = openai.continue_chunk(event.data, self.answer_id, len(text))
-        rest = openai.Chunk(
+        remainder = openai.Chunk(
             chunk.id, chunk.text[len(text) :], chunk.plain, chunk.final
         )
-        return self.pass_rest(sse.encode(data), rest)
+        return self.relay_remainder(sse.encode(data), remainder)
 
-    def pass_rest(self, raw: bytes, chunk: openai.Chunk) -> bytes:
-        """Passes on an event of a further attempt."""
-        self.skipped += len(chunk.text)
-        self.skipped_digest.update(chunk.text.encode())
-        return self.pass_on(raw, chunk)
+    def relay_remainder(self, raw: bytes, chunk: openai.Chunk) -> bytes:
+        """Relays the new part of an event of a further attempt."""
+        self.compared_length += len(chunk.text)
+        self.compared_digest.update(chunk.text.encode())
+        return self.relay_event(raw, chunk)
 
-    def check_same(self) -> None:
-        """Checks that both attempts say the same so far.
+    def check_equal_text(self) -> None:
+        """Checks that both attempts have the same text so far.
 
         Raises:
-            AnswerContradicts: They do not.
+            AnswerContradicts: The texts differ.
         """
-        if self.skipped_digest.digest() != self.digest.digest():
+        if self.compared_digest.digest() != self.digest.digest():
             raise errors.AnswerContradicts(
-                'a further attempt answers something else'
+                'a further attempt returned a different text'
             )
 
     def check_end(self) -> None:
-        """Checks at the terminator that the caller's text was reached."""
-        if self.rerun and self.skipped < self.length:
-            raise errors.AnswerContradicts('a further attempt is shorter')
+        """Checks at the terminator that all relayed text was compared."""
+        if self.restarted and self.compared_length < self.text_length:
+            raise errors.AnswerContradicts(
+                'a further attempt returned a shorter text'
+            )
--- a/lavenderbend/coordination/dispatch/rule_limits.py
+++ b/lavenderbend/coordination/dispatch/rule_limits.py
@@ -1,4 +1,4 @@
-"""The limit that a rule sets for each customer."""
+"""Request rate limits that rules set for each customer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from lavenderbend.coordination import interfaces
     from lavenderbend.state import configuration
 
-# what may come at once, in seconds of the rate
+# burst, in seconds of the rate
 BURST_SECONDS = 1.0
 MAX_BUCKETS = 10_000
 
@@ -27,27 +27,28 @@
 
 @attrs.define
 class Bucket:
-    """Tokens of one customer under one rule.
+    """Token bucket of one customer under one rule.
 
     Attributes:
-        tokens: Requests that may come now.
-        at: Router clock of that figure.
+        tokens: Tokens available at `refilled_at`, one per request.
+        refilled_at: Router clock of the last refill.
     """
 
     tokens: float
-    at: float
+    refilled_at: float
 
 
 class RuleLimits:
-    """Counts requests by rule and customer.
+    """Limits requests by rule and customer.
 
-    Each router grants an even part of the limit: requests of one customer
-    come in by all routers alike, since a balancer spreads them. Through a
-    single router a customer gets that part only.
+    Each router grants an equal share of the limit, because a balancer
+    distributes the requests of a customer evenly over all routers. A customer
+    that uses a single router gets that share only.
 
     Attributes:
-        membership: Says how many routers there are.
-        buckets: By rule and customer, least recently used first.
+        membership: Gives the number of routers.
+        buckets: Token buckets by rule and customer, least recently used
+            first.
     """
 
     def __init__(self, membership: interfaces.Membership) -> None:
@@ -57,7 +58,7 @@
         )
 
     def check(self, rule: configuration.Rule, customer: str) -> None:
-        """Counts a request.
+        """Takes a token for a request.
 
         Raises:
             CustomerOverLimit: The customer is over the rule's limit.
@@ -68,25 +69,25 @@
         capacity = max(1.0, rate * BURST_SECONDS)
         bucket = self.bucket((rule.name, customer), capacity)
         now = trio.current_time()
-        earned = (now - bucket.at) * rate
+        earned = (now - bucket.refilled_at) * rate
         bucket.tokens = min(capacity, bucket.tokens + earned)
-        bucket.at = now
+        bucket.refilled_at = now
         if bucket.tokens >= 1.0:
             bucket.tokens -= 1.0
             return
         refused.inc({'rule': rule.name, 'customer': customer})
         raise errors.CustomerOverLimit(
-            f'{customer} is over the limit of the rule {rule.name}',
+            f'{customer} is over the limit of rule {rule.name}',
             retry_after=(1.0 - bucket.tokens) / rate,
         )
 
     def bucket(self, key: tuple[str, str], capacity: float) -> Bucket:
-        """Returns the bucket of a rule and customer."""
-        found = self.buckets.get(key)
-        if found is None:
-            found = Bucket(capacity, trio.current_time())
-            self.buckets[key] = found
+        """Returns the token bucket of a rule and customer."""
+        bucket = self.buckets.get(key)
+        if bucket is None:
+            bucket = Bucket(capacity, trio.current_time())
+            self.buckets[key] = bucket
             while len(self.buckets) > MAX_BUCKETS:
                 self.buckets.popitem(last=False)
         self.buckets.move_to_end(key)
-        return found
+        return bucket
