--- a/bench/agreed/spread.py
+++ b/bench/agreed/spread.py
@@ -68,7 +68,7 @@
     async def read(self, key, end=None, limit=0):
         """Reads and counts."""
         found = await self.store.read(key, end, limit)
-        body = [etcd.item_to_wire(item) for item in found.items]
+        body = [etcd.key_value_to_wire(item) for item in found.items]
         self.bytes += HTTP_HEAD_BYTES + len(json.dumps(body)) + 2 * len(key)
         self.calls += 1
         return found
--- a/lavenderbend/coordination/admission/acquisition.py
+++ b/lavenderbend/coordination/admission/acquisition.py
@@ -105,7 +105,7 @@
             )
         return groups.chat_group(self.chat or self.number, indices)
 
-    def next_group(self, answer: messages_decisions.PermitElsewhere) -> None:
+    def next_group(self, answer: messages_decisions.PermitRedirect) -> None:
         """Selects the group that the answer redirects to, or another one."""
         if answer.group is not None:
             self.index = answer.group
@@ -213,12 +213,12 @@
             adapter=short_id(ask.adapter) if ask.adapter else None,
             priority=int(ask.priority),
             prompt_tokens=ask.prompt_tokens,
-            left=round(left * 1000),
-            hold=round(hold * 1000),
+            milliseconds_left=round(left * 1000),
+            hold_milliseconds=round(hold * 1000),
             avoid=sorted(self.avoid),
             hops=self.hops,
             suspect=ask.suspect,
-            held=self.admission.held_count(owner, group),
+            held_permits=self.admission.held_count(owner, group),
         )
 
     def handle_answer(
@@ -228,7 +228,7 @@
         if isinstance(answer, messages_decisions.PermitWaiting):
             self.queued = True
             return None
-        if isinstance(answer, messages_decisions.PermitElsewhere):
+        if isinstance(answer, messages_decisions.PermitRedirect):
             self.next_group(answer)
             return None
         if isinstance(answer, messages_decisions.PermitGrant):
--- a/lavenderbend/coordination/admission/owned.py
+++ b/lavenderbend/coordination/admission/owned.py
@@ -218,6 +218,8 @@
                 self.queue.remove(waiter)
         self.entries.remove(entry)
 
-    def store_places(self, message: messages_decisions.PlacesCopy) -> None:
+    def store_places(
+        self, message: messages_decisions.ReplicatedPlaces
+    ) -> None:
         """Stores places that another owner replicated to this router."""
         self.replication.store(message, self.loads.names())
--- a/lavenderbend/coordination/admission/owner.py
+++ b/lavenderbend/coordination/admission/owner.py
@@ -68,11 +68,11 @@
         link.handle(messages_decisions.PermitRequest, self.on_request)
         link.handle(messages_decisions.PermitRelease, self.on_release)
         link.handle(messages_decisions.PermitRegister, self.on_register)
-        link.handle(messages_decisions.PermitMoved, self.on_moved)
+        link.handle(messages_decisions.PermitOwnerChanged, self.on_moved)
         link.handle(messages_decisions.PermitDigest, self.on_digest)
-        link.handle(messages_decisions.PlacesCopy, self.on_places)
+        link.handle(messages_decisions.ReplicatedPlaces, self.on_places)
         link.handle(messages_decisions.PermitPoll, self.on_poll)
-        link.handle(messages_decisions.GroupSums, self.on_totals)
+        link.handle(messages_decisions.GroupTotals, self.on_totals)
 
     def group(self, pool: int, index: int) -> owned.OwnedGroup:
         """Returns the state of a group, created on first use."""
@@ -109,7 +109,7 @@
         assert isinstance(message, messages_decisions.PermitRequest)
         group = self.group(message.pool, message.group)
         self.note_contact(group, entry)
-        group.unconfirmed.note_held(entry, message.held)
+        group.unconfirmed.note_held(entry, message.held_permits)
         live = group.table.get(entry, message.number)
         if live is not None:
             # The request was sent again because the first answer was lost:
@@ -118,10 +118,10 @@
         waiter = group.queue.waiting.get((entry, message.number))
         now = trio.current_time()
         if waiter is None:
-            deadline = now + message.left * MILLISECOND
+            deadline = now + message.milliseconds_left * MILLISECOND
             waiter = waiter_.Waiter(entry, message, deadline, now, now)
             group.submit(waiter)
-        return await self.wait(group, waiter, message.hold)
+        return await self.wait(group, waiter, message.hold_milliseconds)
 
     async def on_poll(
         self, entry: str, message: peer.Message
@@ -143,7 +143,7 @@
             # The entry router must send a new request, or it would poll until
             # its deadline.
             raise errors.NotWaiting('no request with this number is queued')
-        return await self.wait(group, waiter, message.hold)
+        return await self.wait(group, waiter, message.hold_milliseconds)
 
     async def wait(
         self, group: owned.OwnedGroup, waiter: waiter_.Waiter, hold: int
@@ -160,7 +160,7 @@
         if waiter.error is not None:
             raise waiter.error
         if waiter.redirect_group is not None or waiter.unserved:
-            return messages_decisions.PermitElsewhere(waiter.redirect_group)
+            return messages_decisions.PermitRedirect(waiter.redirect_group)
         if waiter.choice is None:
             return messages_decisions.PermitWaiting()
         return self.answer(waiter.choice)
@@ -194,7 +194,7 @@
 
     async def on_moved(self, entry: str, message: peer.Message) -> None:
         """Records that an entry router now uses another owner."""
-        assert isinstance(message, messages_decisions.PermitMoved)
+        assert isinstance(message, messages_decisions.PermitOwnerChanged)
         self.group(message.pool, message.group).entries.note_moved(entry)
 
     async def on_digest(self, entry: str, message: peer.Message) -> None:
@@ -211,7 +211,7 @@
 
     async def on_places(self, router: str, message: peer.Message) -> None:
         """Stores the places that another owner replicated here."""
-        assert isinstance(message, messages_decisions.PlacesCopy)
+        assert isinstance(message, messages_decisions.ReplicatedPlaces)
         self.group(message.pool, message.group).store_places(message)
 
     async def run(self) -> None:
@@ -273,7 +273,7 @@
 
     async def on_totals(self, router: str, message: peer.Message) -> None:
         """Stores the load totals of other groups."""
-        assert isinstance(message, messages_decisions.GroupSums)
+        assert isinstance(message, messages_decisions.GroupTotals)
         rows = zip(message.groups, message.loads, message.engines, strict=False)
         for index, load, engines in rows:
             self.pool_totals.put(message.pool, index, load, engines)
@@ -289,10 +289,10 @@
 
     def totals_to_send(
         self,
-    ) -> list[tuple[messages_decisions.GroupSums, list[str]]]:
+    ) -> list[tuple[messages_decisions.GroupTotals, list[str]]]:
         """Returns the totals of each pool's own groups, with the receivers."""
         routers = self.membership.region_routers()
-        messages: dict[int, messages_decisions.GroupSums] = {}
+        messages: dict[int, messages_decisions.GroupTotals] = {}
         for group_id, group in self.owned.items():
             if groups.owner(group_id, routers) != self.name:
                 continue
@@ -302,7 +302,7 @@
             load, engines = group.loads.total()
             message = messages.setdefault(
                 group_id.pool,
-                messages_decisions.GroupSums(group_id.pool, [], [], []),
+                messages_decisions.GroupTotals(group_id.pool, [], [], []),
             )
             message.groups.append(group_id.index)
             message.loads.append(load)
--- a/lavenderbend/coordination/admission/place_replication.py
+++ b/lavenderbend/coordination/admission/place_replication.py
@@ -55,12 +55,12 @@
 
     def message(
         self, rows: list[tuple[int, placements.Place]]
-    ) -> messages_decisions.PlacesCopy:
+    ) -> messages_decisions.ReplicatedPlaces:
         """Returns the message for some chats and their places."""
         places = list(dict.fromkeys(place for _, place in rows))
         positions = {place: index for index, place in enumerate(places)}
         short_id = messages_decisions.short_id
-        return messages_decisions.PlacesCopy(
+        return messages_decisions.ReplicatedPlaces(
             self.group.pool,
             self.group.index,
             [short_id(place.upstream) for place in places],
@@ -71,7 +71,7 @@
 
     def store(
         self,
-        message: messages_decisions.PlacesCopy,
+        message: messages_decisions.ReplicatedPlaces,
         upstream_names: dict[int, str],
     ) -> None:
         """Stores places that another owner replicated to this router."""
--- a/lavenderbend/coordination/admission/service.py
+++ b/lavenderbend/coordination/admission/service.py
@@ -239,7 +239,9 @@
                 continue
             self.owners[group] = name
             if before is not None:
-                moved = messages_decisions.PermitMoved(group.pool, group.index)
+                moved = messages_decisions.PermitOwnerChanged(
+                    group.pool, group.index
+                )
                 self.send_notice(before, moved)
             self.register(group, name, by_group[group])
 
@@ -271,7 +273,9 @@
         if self.owners.get(group) != router:
             self.send_notice(
                 router,
-                messages_decisions.PermitMoved(message.pool, message.group),
+                messages_decisions.PermitOwnerChanged(
+                    message.pool, message.group
+                ),
             )
             return
         held = [
--- a/lavenderbend/coordination/claims/claims.py
+++ b/lavenderbend/coordination/claims/claims.py
@@ -107,9 +107,9 @@
         )
         self.absent_since: dict[str, float] = {}
         self.nursery: trio.Nursery | None = None
-        link.handle(messages.ClaimAsk, self.on_claim)
-        link.handle(messages.ClaimLook, self.on_lookup)
-        link.handle(messages.OutcomesSay, self.on_outcomes)
+        link.handle(messages.ClaimCommitRequest, self.on_claim)
+        link.handle(messages.ClaimLookup, self.on_lookup)
+        link.handle(messages.OutcomesCommitRequest, self.on_outcomes)
 
     async def claim(
         self, customer: str, key: str, body_digest: bytes, deadline: float
@@ -147,7 +147,7 @@
         return self.interpret_reply(reply, token)
 
     def interpret_reply(
-        self, reply: messages.ClaimAnswer, token: claims.ClaimToken
+        self, reply: messages.ClaimReply, token: claims.ClaimToken
     ) -> claims.Claimed | claims.Recorded:
         """Converts the reply of an owner to the result of `claim`.
 
@@ -169,23 +169,23 @@
         return claims.Recorded(errors.Outcome.UNKNOWN)
 
     async def on_lookup(
-        self, router: str, lookup: messages.ClaimLook
+        self, router: str, lookup: messages.ClaimLookup
     ) -> peer.Message:
         """Answers from local state, without a call to the service."""
         local_outcome = self.local_outcomes.get(lookup.key)
         if local_outcome is not None:
-            return messages.ClaimAnswer(
+            return messages.ClaimReply(
                 claims.ClaimState.RECORDED.value,
                 local_outcome.outcome.value,
                 local_outcome.status,
             )
         shard = self.shards.get(lookup.shard)
         if shard is None:
-            return messages.ClaimAnswer(claims.ClaimState.ABSENT.value)
+            return messages.ClaimReply(claims.ClaimState.ABSENT.value)
         state = shard.table.state(lookup.key, lookup.token, lookup.digest)
         if state is claims.ClaimState.RECORDED:
             return self.recorded_reply(shard, lookup.key)
-        return messages.ClaimAnswer(state.value)
+        return messages.ClaimReply(state.value)
 
     def owner(self, shard: int, rank: int = 0) -> str:
         """Returns the router at a rank in the rendezvous order of a shard."""
@@ -233,15 +233,15 @@
             nursery.start_soon(self.load_owned_shards)
 
     async def on_claim(
-        self, router: str, request: messages.ClaimAsk
+        self, router: str, request: messages.ClaimCommitRequest
     ) -> peer.Message:
         """Commits a peer's claim, or waits for its first copy's outcome."""
-        deadline = trio.current_time() + request.patience
+        deadline = trio.current_time() + request.timeout_seconds
         shard = None
         if request.shards == self.policy.shards:
             shard = self.ensure_shard(request.shard)
         if shard is None:
-            return messages.ClaimAnswer(claims.ClaimState.UNDECIDED.value)
+            return messages.ClaimReply(claims.ClaimState.UNDECIDED.value)
         line = claims.ClaimLine(
             request.key, request.token, request.digest, router
         )
@@ -249,18 +249,18 @@
         if state is claims.ClaimState.RUNNING:
             state = await self.wait_for_first_copy(shard, line, deadline)
         if state is not claims.ClaimState.RECORDED:
-            return messages.ClaimAnswer(state.value)
+            return messages.ClaimReply(state.value)
         return self.recorded_reply(shard, request.key)
 
     def recorded_reply(
         self, shard: claim_shards.Shard, key: bytes
-    ) -> messages.ClaimAnswer:
+    ) -> messages.ClaimReply:
         """Returns the recorded outcome, 'unknown' while there is none."""
         state = claims.ClaimState.RECORDED.value
         held = shard.table.held.get(key)
         if held is None or held.outcome is None:
-            return messages.ClaimAnswer(state, errors.Outcome.UNKNOWN.value)
-        return messages.ClaimAnswer(state, held.outcome.value, held.status)
+            return messages.ClaimReply(state, errors.Outcome.UNKNOWN.value)
+        return messages.ClaimReply(state, held.outcome.value, held.status)
 
     async def wait_for_first_copy(
         self,
@@ -292,12 +292,12 @@
         return now - since >= self.policy.lost_router_seconds
 
     async def on_outcomes(
-        self, router: str, request: messages.OutcomesSay
+        self, router: str, request: messages.OutcomesCommitRequest
     ) -> peer.Message:
         """Commits the outcomes that a peer sends."""
         shard = self.ensure_shard(request.shard)
         if shard is None:
-            return messages.OutcomesAnswer(False)
+            return messages.OutcomesReply(False)
         lines = tuple(
             claims.OutcomeLine(key, token, errors.Outcome(outcome), status)
             for key, token, outcome, status in zip(
@@ -308,8 +308,8 @@
                 strict=True,
             )
         )
-        deadline = trio.current_time() + request.patience
-        return messages.OutcomesAnswer(await shard.record(lines, deadline))
+        deadline = trio.current_time() + request.timeout_seconds
+        return messages.OutcomesReply(await shard.record(lines, deadline))
 
     def ensure_shard(self, number: int) -> claim_shards.Shard | None:
         """Returns a shard, started if necessary; None if not running."""
--- a/lavenderbend/coordination/claims/outcomes.py
+++ b/lavenderbend/coordination/claims/outcomes.py
@@ -112,7 +112,7 @@
         self, shard: int, lines: list[claims.OutcomeLine]
     ) -> None:
         """Sends outcomes to an owner; requeues them if that fails."""
-        request = messages.OutcomesSay(
+        request = messages.OutcomesCommitRequest(
             shard,
             [line.key for line in lines],
             [line.token for line in lines],
@@ -131,10 +131,10 @@
         await trio.sleep(self.rng.uniform(pause / 2, pause))
 
     async def send_request(
-        self, request: messages.OutcomesSay, rank: int
+        self, request: messages.OutcomesCommitRequest, rank: int
     ) -> bool:
         """Asks one owner to record outcomes; returns whether it did."""
-        timeout = request.patience + REPLY_MARGIN_SECONDS
+        timeout = request.timeout_seconds + REPLY_MARGIN_SECONDS
         owner = self.owner(request.shard, rank)
         try:
             with trio.move_on_after(timeout):
--- a/lavenderbend/coordination/claims/requester.py
+++ b/lavenderbend/coordination/claims/requester.py
@@ -85,9 +85,7 @@
         self.owner = owner
         self.rng = rng
 
-    async def resolve(
-        self, claim_request: ClaimRequest
-    ) -> messages.ClaimAnswer:
+    async def resolve(self, claim_request: ClaimRequest) -> messages.ClaimReply:
         """Asks owners, then former owners if the owners cannot decide.
 
         Raises:
@@ -103,7 +101,7 @@
 
     async def query_former_owners(
         self, claim_request: ClaimRequest
-    ) -> messages.ClaimAnswer | None:
+    ) -> messages.ClaimReply | None:
         """Returns the reply of a router that may have owned the shard.
 
         If a shard gets a new owner during an outage, that owner cannot read
@@ -111,7 +109,7 @@
         previous owner knows to have run.
         """
         token = claim_request.token
-        lookup = messages.ClaimLook(
+        lookup = messages.ClaimLookup(
             token.shard, token.key, token.id, claim_request.digest
         )
         replies = []
@@ -137,7 +135,7 @@
 
     async def query_owners(
         self, claim_request: ClaimRequest
-    ) -> messages.ClaimAnswer:
+    ) -> messages.ClaimReply:
         """Asks owners until one decides or the deadline has passed.
 
         Raises:
@@ -167,7 +165,7 @@
 
     async def query_owner(
         self, claim_request: ClaimRequest
-    ) -> messages.ClaimAnswer:
+    ) -> messages.ClaimReply:
         """Asks one owner; returns 'undecided' if it cannot be reached.
 
         After a failure the next router by rank is asked with the same
@@ -176,7 +174,7 @@
         """
         token = claim_request.token
         wait = min(claim_request.seconds_left(), OWNER_WAIT_SECONDS)
-        message = messages.ClaimAsk(
+        message = messages.ClaimCommitRequest(
             token.shard,
             token.key,
             token.id,
@@ -199,4 +197,4 @@
                 return reply
         except errors.PeerError:
             pass
-        return messages.ClaimAnswer(claims.ClaimState.UNDECIDED.value)
+        return messages.ClaimReply(claims.ClaimState.UNDECIDED.value)
--- a/lavenderbend/coordination/configuration/chain.py
+++ b/lavenderbend/coordination/configuration/chain.py
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        self.known = records.NOTHING
+        self.known = records.EMPTY_REVISION
         self.revision: configuration.Revision | None = None
         self.recent: collections.OrderedDict[int, bytes] = (
             collections.OrderedDict()
@@ -54,7 +54,7 @@
             self.recent.popitem(last=False)
         return True
 
-    def take_whole(self, known: records.Known) -> bool:
+    def take_whole(self, known: records.StoredRevision) -> bool:
         """Jumps to a whole revision if it is newer; returns whether."""
         if known.number <= self.number:
             return False
@@ -62,7 +62,7 @@
         self.recent.clear()
         return True
 
-    def step(self, known: records.Known) -> None:
+    def step(self, known: records.StoredRevision) -> None:
         """Puts a revision in force, whole and at once."""
         revision = records.to_revision(known)
         self.known = known
--- a/lavenderbend/coordination/configuration/follower.py
+++ b/lavenderbend/coordination/configuration/follower.py
@@ -85,9 +85,9 @@
         self.said: dict[str, int] = {}
         self.wanted: str | None = None
         self.wake = trio.Event()
-        link.handle(messages.RevisionAsk, self.on_ask)
-        link.handle(messages.RevisionSay, self.on_say)
-        link.handle(messages.EntriesAsk, self.on_entries)
+        link.handle(messages.RevisionRequest, self.on_ask)
+        link.handle(messages.RevisionNotice, self.on_say)
+        link.handle(messages.EntriesRequest, self.on_entries)
 
     @property
     def stale_since(self) -> float | None:
@@ -198,7 +198,7 @@
 
     async def compare(self, router: str) -> None:
         """Tells a peer the revision here and learns the peer's."""
-        ask = messages.RevisionAsk(self.chain.number, self.digest())
+        ask = messages.RevisionRequest(self.chain.number, self.digest())
         try:
             answer = await self.link.request(router, ask, PEER_TIMEOUT_SECONDS)
         except errors.PeerError:
@@ -210,18 +210,20 @@
         return self.chain.known.document.digest[:DIGEST_CHARACTERS]
 
     async def on_ask(
-        self, router: str, ask: messages.RevisionAsk
+        self, router: str, ask: messages.RevisionRequest
     ) -> peer.Message:
         """Answers with the revision here."""
         self.heard(router, ask)
-        return messages.RevisionSay(self.chain.number, self.digest())
+        return messages.RevisionNotice(self.chain.number, self.digest())
 
-    async def on_say(self, router: str, say: messages.RevisionSay) -> None:
+    async def on_say(self, router: str, say: messages.RevisionNotice) -> None:
         """Hears of a revision at a peer."""
         self.heard(router, say)
 
     def heard(
-        self, router: str, item: messages.RevisionAsk | messages.RevisionSay
+        self,
+        router: str,
+        item: messages.RevisionRequest | messages.RevisionNotice,
     ) -> None:
         """Notes a peer's revision and has a newer one fetched."""
         self.contact.note()
@@ -252,24 +254,24 @@
 
     async def fetch(self, router: str) -> None:
         """Fetches what is missing here from a peer."""
-        ask = messages.EntriesAsk(self.chain.number)
+        ask = messages.EntriesRequest(self.chain.number)
         answer = await self.link.request(router, ask, PEER_TIMEOUT_SECONDS)
         if answer.snapshot:
-            self.chain.take_whole(records.decode_known(answer.snapshot))
+            self.chain.take_whole(records.decode_revision(answer.snapshot))
         for number, value in enumerate(answer.records, answer.first):
             self.chain.take(number, value)
         self.contact.note()
         configuration_service.FETCHES.inc({'source': 'peer'})
 
     async def on_entries(
-        self, router: str, ask: messages.EntriesAsk
+        self, router: str, ask: messages.EntriesRequest
     ) -> peer.Message:
         """Gives a peer what it lacks."""
         changes = self.chain.after(ask.after)
         if changes is not None:
-            return messages.EntriesAnswer(ask.after + 1, list(changes))
-        whole = records.encode_known(self.chain.known)
-        return messages.EntriesAnswer(self.chain.number + 1, [], whole)
+            return messages.EntriesReply(ask.after + 1, list(changes))
+        whole = records.encode_revision(self.chain.known)
+        return messages.EntriesReply(self.chain.number + 1, [], whole)
 
     async def announce(self) -> None:
         """Tells some peers of each step forward."""
@@ -281,6 +283,6 @@
             logs.change('configuration_in_force', number=number)
             others = self.others()
             chosen = self.rng.sample(others, min(FANOUT, len(others)))
-            say = messages.RevisionSay(number, self.digest())
+            say = messages.RevisionNotice(number, self.digest())
             for router in chosen:
                 self.link.notify(router, say)
--- a/lavenderbend/coordination/configuration/log.py
+++ b/lavenderbend/coordination/configuration/log.py
@@ -134,8 +134,10 @@
             splices=documents.delta(self.chain.known.document, wanted),
         )
         value = records.encode(record)
-        whole = records.Known(self.chain.number + 1, wanted, author, reason)
-        size = max(len(value), len(records.encode_known(whole)))
+        whole = records.StoredRevision(
+            self.chain.number + 1, wanted, author, reason
+        )
+        size = max(len(value), len(records.encode_revision(whole)))
         if size > MAX_VALUE_BYTES:
             raise errors.ConfigurationTooLarge(
                 f'{size} bytes compressed, {MAX_VALUE_BYTES} are allowed'
@@ -148,7 +150,7 @@
         """Returns the accepted revision, even if newer ones followed."""
         record = records.decode(value)
         return records.to_revision(
-            records.Known(
+            records.StoredRevision(
                 number,
                 document,
                 record.author,
@@ -214,14 +216,14 @@
             self.snapshot_number = max(self.snapshot_number, known.number)
             self.chain.take_whole(known)
 
-    async def snapshot_upto(self, number: int) -> records.Known | None:
+    async def snapshot_upto(self, number: int) -> records.StoredRevision | None:
         """Returns the newest whole revision up to a number."""
         found = await self.store.read(
             self.snapshot_key(number), self.snapshot_end, 1
         )
         if not found.items:
             return None
-        return records.decode_known(found.items[0].value)
+        return records.decode_revision(found.items[0].value)
 
     def snapshot_key(self, number: int) -> str:
         """Returns the key of a whole revision; newer ones sort first."""
@@ -237,7 +239,7 @@
             return
         try:
             await self.store.create(
-                self.snapshot_key(known.number), records.encode_known(known)
+                self.snapshot_key(known.number), records.encode_revision(known)
             )
             self.snapshot_number = known.number
             if known.number % COMPACT_EVERY < SNAPSHOT_EVERY:
@@ -257,7 +259,7 @@
             self.snapshot_key(oldest.number - 1), self.snapshot_end
         )
 
-    async def known_at(self, number: int) -> records.Known:
+    async def known_at(self, number: int) -> records.StoredRevision:
         """Returns a past revision.
 
         Raises:
@@ -265,7 +267,7 @@
         """
         if number == self.chain.number:
             return self.chain.known
-        known = await self.snapshot_upto(number) or records.NOTHING
+        known = await self.snapshot_upto(number) or records.EMPTY_REVISION
         while known.number < number:
             page = await self.log.read_kept(known.number + 1)
             if not page.entries or page.entries[0].number != known.number + 1:
--- a/lavenderbend/coordination/dispatch/at_most_once.py
+++ b/lavenderbend/coordination/dispatch/at_most_once.py
@@ -66,7 +66,7 @@
     Raises:
         RequestError: There is no complete answer.
     """
-    limit = exchange.components.settings.answers.whole_bytes
+    limit = exchange.components.settings.answers.answer_bytes
     parts: list[bytes] = []
     size = 0
     with trio.move_on_at(exchange.deadline):
--- a/lavenderbend/coordination/dispatch/bodies.py
+++ b/lavenderbend/coordination/dispatch/bodies.py
@@ -106,7 +106,7 @@
             return None
         body = await self.read_whole()
         if self.chat:
-            openai.check_whole(body, self.expected_id)
+            openai.check_complete(body, self.expected_id)
         self.relayed = True
         return body
 
@@ -116,7 +116,7 @@
         size = 0
         while (data := await self.receive()) is not None:
             size += len(data)
-            if size > self.limits.whole_bytes:
+            if size > self.limits.answer_bytes:
                 raise errors.UpstreamBroke('the answer is over the size limit')
             parts.append(data)
         return parts[0] if len(parts) == 1 else b''.join(parts)
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -251,7 +251,7 @@
     """
     body = request.body
     if request.model is not None:
-        body = openai.work_of(body)
+        body = openai.canonical_input(body)
     return hashing.hash64(request.customer, request.path, body)
 
 
--- a/lavenderbend/coordination/dispatch/relay.py
+++ b/lavenderbend/coordination/dispatch/relay.py
@@ -129,7 +129,7 @@
         if chunk.text:
             self.text_length += len(chunk.text)
             self.digest.update(chunk.text.encode())
-        if not chunk.plain:
+        if not chunk.text_only:
             self.comparable = False
         if chunk.final:
             self.finished = True
@@ -178,7 +178,7 @@
             return b''
         data = openai.continue_chunk(event.data, self.answer_id, len(text))
         remainder = openai.Chunk(
-            chunk.id, chunk.text[len(text) :], chunk.plain, chunk.final
+            chunk.id, chunk.text[len(text) :], chunk.text_only, chunk.final
         )
         return self.relay_remainder(sse.encode(data), remainder)
 
--- a/lavenderbend/coordination/forwarding/members.py
+++ b/lavenderbend/coordination/forwarding/members.py
@@ -152,7 +152,7 @@
     def merge_hosts(self, rows: Iterable[list[str | bytes]]) -> None:
         """Merges the hosts of another router's message."""
         for zone, packed in rows:
-            for host, age in packed_rows.unpack_heard(packed):
+            for host, age in packed_rows.unpack_hosts(packed):
                 self.note_host(zone, host, age)
 
     def rows_to_send(
@@ -193,7 +193,7 @@
         ages = {
             host: now - hosts[host] for host in self.by_recency(hosts)[:count]
         }
-        return packed_rows.pack_heard(
+        return packed_rows.pack_hosts(
             (host, age)
             for host, age in ages.items()
             if age < MAX_SENT_AGE_SECONDS
--- a/lavenderbend/coordination/forwarding/owned_loads.py
+++ b/lavenderbend/coordination/forwarding/owned_loads.py
@@ -102,7 +102,8 @@
             holders,
         )
         seconds = min(
-            request.milliseconds / MILLISECONDS, MAX_RESERVATION_SECONDS
+            request.lifetime_milliseconds / MILLISECONDS,
+            MAX_RESERVATION_SECONDS,
         )
         counted[request.host, request.number] = CountedRequest(
             unread_tokens(
--- a/lavenderbend/coordination/forwarding/peers.py
+++ b/lavenderbend/coordination/forwarding/peers.py
@@ -360,18 +360,18 @@
         return self.state(
             host,
             reply_requested=reply_requested,
-            bound=self.divisor.peak(),
+            peak_routers=self.divisor.peak(),
             zones=self.fleet.rows_to_send(),
             facts=self.facts.rows_for_starting()
             if new
             else self.facts.rows_to_send(),
             # Other zones need only the number of routers.
-            heard=self.members.same_zone.rows_to_send(self.rng)
+            same_zone_hosts=self.members.same_zone.rows_to_send(self.rng)
             if same_zone
             else b'',
             reports=self.loads.packed_reports(other_zone=not same_zone),
             requests=self.loads.packed_requests(),
-            hosts=self.members.rows_to_send(self.rng, zone, new),
+            other_zone_hosts=self.members.rows_to_send(self.rng, zone, new),
             prompts=self.prompts.rows_to_send(other_zone=not same_zone),
         )
 
@@ -394,11 +394,11 @@
             host=self.host,
             zone=self.zone,
             leaving=self.leaving,
-            asks=reply_requested,
+            reply_requested=reply_requested,
             sent_at=now,
             echo_incarnation=0 if member is None else member.incarnation,
             echo_at=None if member is None else member.sent_at,
-            echo_held=0.0
+            echo_delay=0.0
             if member is None
             else now - member.received_at_suspension_clock,
             proof_age=None if current is None else self.snapshots.age,
@@ -423,7 +423,7 @@
         gained = self.freshness.note(state)
         if gained > RELAY_GAIN_SECONDS:
             self.relay()
-        if state.asks:
+        if state.reply_requested:
             self.send(state.host, self.full_state(state.host, new=True))
         elif self.should_answer(state, gained):
             self.send(state.host, self.state(state.host))
@@ -431,11 +431,11 @@
     def merge(self, state: messages_forwarding.RouterState) -> None:
         """Merges the content of a message except the proof of freshness."""
         if state.zone == self.zone:
-            self.members.same_zone.merge(state.heard)
-        self.members.merge_hosts(state.hosts)
+            self.members.same_zone.merge(state.same_zone_hosts)
+        self.members.merge_hosts(state.other_zone_hosts)
         self.fleet.merge(state.zones)
         if trio.current_time() - self.started < MERGE_COUNT_SECONDS:
-            self.divisor.note(state.bound)
+            self.divisor.note(state.peak_routers)
         self.loads.merge(state)
         self.prompts.merge(state.prompts)
         self.facts.merge_rows(state.facts)
--- a/lavenderbend/coordination/forwarding/reservations.py
+++ b/lavenderbend/coordination/forwarding/reservations.py
@@ -213,7 +213,7 @@
             short,
             reply.owner,
             reply.load,
-            reply.unread,
+            reply.unread_tokens,
             tuple(reply.holders),
         )
 
--- a/lavenderbend/coordination/forwarding/shared_freshness.py
+++ b/lavenderbend/coordination/forwarding/shared_freshness.py
@@ -152,7 +152,7 @@
     def proved_at(self, state: messages_forwarding.RouterState) -> float:
         """Returns the time of a peer's proof, by this router's clock.
 
-        The peer sent its message `echo_held` seconds after it received the
+        The peer sent its message `echo_delay` seconds after it received the
         message that it echoes; its proof was `proof_age` seconds old then. The
         transit time of the echoed message counts as zero, so the result is
         never too late.
@@ -163,7 +163,7 @@
             # The echoed clock value is from an earlier start of this VM: its
             # clock began anew after a power loss.
             return NEVER
-        proved_at = state.echo_at + state.echo_held - state.proof_age
+        proved_at = state.echo_at + state.echo_delay - state.proof_age
         return min(proved_at, self.snapshots.clock())
 
     async def run(self) -> None:
--- a/lavenderbend/coordination/forwarding/zone_members.py
+++ b/lavenderbend/coordination/forwarding/zone_members.py
@@ -46,7 +46,7 @@
 
     def merge(self, rows: bytes) -> None:
         """Merges the signs of life of another router's message."""
-        for host, age in packed_rows.unpack_heard(rows):
+        for host, age in packed_rows.unpack_hosts(rows):
             if age < ALIVE_SECONDS:
                 self.note(host, age)
 
@@ -56,7 +56,7 @@
         alive = self.alive()
         if len(alive) > MAX_HOSTS_PER_MESSAGE:
             alive = rng.sample(alive, MAX_HOSTS_PER_MESSAGE)
-        return packed_rows.pack_heard(
+        return packed_rows.pack_hosts(
             (host, now - self.last_seen[host]) for host in alive
         )
 
--- a/lavenderbend/coordination/limits/customers.py
+++ b/lavenderbend/coordination/limits/customers.py
@@ -216,8 +216,8 @@
             bucket.tokens += min(0, deficit)
             bucket.note_report(now)
             message.customers.append(messages_decisions.short_id(name))
-            message.wants.append(deficit)
-            message.held.append(int(bucket.tokens))
+            message.deficits.append(deficit)
+            message.held_tokens.append(int(bucket.tokens))
         if home != self.name:
             self.link.notify(home, message)
             return
@@ -243,7 +243,12 @@
         self.refresh_homes()
         now = trio.current_time()
         grants = messages_decisions.CustomerShare([], [])
-        rows = zip(message.customers, message.wants, message.held, strict=False)
+        rows = zip(
+            message.customers,
+            message.deficits,
+            message.held_tokens,
+            strict=False,
+        )
         for number, deficit, held in rows:
             name = self.names.get(number)
             if name is None or self.homes[number % GROUPS] != self.name:
--- a/lavenderbend/coordination/membership/message_handlers.py
+++ b/lavenderbend/coordination/membership/message_handlers.py
@@ -27,7 +27,7 @@
         link = fleet.link
         link.handle(messages.Ping, self.on_ping)
         link.handle(messages.PingThrough, self.on_ping_through)
-        link.handle(messages.SyncAsk, self.on_sync)
+        link.handle(messages.SyncRequest, self.on_sync)
         link.handle(messages.Updates, self.on_updates)
         link.handle(messages.UpstreamProbe, self.on_upstream_probe)
 
@@ -57,8 +57,8 @@
         self.fleet.processor.merge_updates(message.updates)
 
     async def on_sync(
-        self, peer_id: str, message: messages.SyncAsk
-    ) -> messages.SyncAnswer:
+        self, peer_id: str, message: messages.SyncRequest
+    ) -> messages.SyncReply:
         """Returns the whole membership state of this router."""
         self.fleet.processor.merge_updates(message.updates)
         self.fleet.processor.note_responsive(peer_id)
@@ -82,12 +82,12 @@
                 for (kind, observer), fact in facts.items()
                 if fact.until > now
             )
-        if message.want_list:
+        if message.include_vm_list:
             updates.extend(
                 listing.to_change(entry.vm, entry.state)
                 for entry in self.fleet.listing.entries.values()
             )
-        return messages.SyncAnswer([peer.to_wire(update) for update in updates])
+        return messages.SyncReply([peer.to_wire(update) for update in updates])
 
     async def on_upstream_probe(
         self, peer_id: str, message: messages.UpstreamProbe
--- a/lavenderbend/coordination/membership/probes.py
+++ b/lavenderbend/coordination/membership/probes.py
@@ -191,7 +191,7 @@
 
     async def sync_with(self, name: str) -> None:
         """Fetches the whole membership state of one router."""
-        request = messages.SyncAsk(
+        request = messages.SyncRequest(
             self.fleet.processor.updates_for(name), not self.fleet.has_list()
         )
         timeout = self.fleet.settings.indirect_timeout
@@ -199,6 +199,6 @@
             answer = await self.fleet.link.request(name, request, timeout)
         except errors.PeerError:
             return
-        if isinstance(answer, messages.SyncAnswer):
+        if isinstance(answer, messages.SyncReply):
             self.fleet.processor.merge_updates(answer.updates, relay=False)
             self.fleet.processor.note_responsive(name)
--- a/lavenderbend/daemon/adapters.py
+++ b/lavenderbend/daemon/adapters.py
@@ -131,7 +131,7 @@
     """Returns the limits on the answers of upstreams."""
     return http_limits.AnswerLimits(
         event_bytes=settings.max_event_bytes,
-        whole_bytes=settings.max_whole_bytes,
+        answer_bytes=settings.max_whole_bytes,
         stall_seconds=settings.stall_seconds,
     )
 
--- a/lavenderbend/protocol/__init__.py
+++ b/lavenderbend/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes and their encodings."""
+"""Messages between processes, stored records, and their encodings."""
--- a/lavenderbend/protocol/chat_keys.py
+++ b/lavenderbend/protocol/chat_keys.py
@@ -1,4 +1,4 @@
-"""The key of a chat, which stays the same from turn to turn."""
+"""The key that identifies a chat across its turns."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 ) -> str | None:
     """Returns the chat key of a request, None if it belongs to no chat.
 
-    The caller's own key goes before a hash of the beginning, since two chats
-    may begin alike. The key counts only within its customer.
+    A key given by the caller takes precedence over the hash of the prefix,
+    since two chats may have the same prefix. Keys are unique only within a
+    customer.
 
     Raises:
         RequestInvalid: The caller's key is too long.
     """
-    given = headers.get(HEADER)
+    caller_key = headers.get(HEADER)
     if chat is not None and chat.cache_key is not None:
-        given = chat.cache_key
-    if given:
-        if len(given) > MAX_KEY_CHARACTERS:
+        caller_key = chat.cache_key
+    if caller_key:
+        if len(caller_key) > MAX_KEY_CHARACTERS:
             raise errors.RequestInvalid('the chat key is too long')
-        return given
+        return caller_key
     if chat is None:
         return None
-    return f'{hashing.hash64(chat.model, chat.beginning):016x}'
+    return f'{hashing.hash64(chat.model, chat.prefix):016x}'
--- a/lavenderbend/protocol/documents_yaml.py
+++ b/lavenderbend/protocol/documents_yaml.py
@@ -1,4 +1,4 @@
-"""Settings and configuration files, read strictly."""
+"""Strict parsing of settings and configuration files in YAML."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Returns the settings in a file.
 
     Raises:
-        DocumentErrors: All faults of the file.
+        DocumentErrors: The file is invalid; holds all errors found.
     """
     return parse_settings(read_file(path), str(path))
 
@@ -38,13 +38,13 @@
     """Returns the configuration in a file.
 
     Raises:
-        DocumentErrors: All faults of the file.
+        DocumentErrors: The file is invalid; holds all errors found.
     """
     return parse_configuration(read_file(path), str(path))
 
 
 def parse_settings(text: str | bytes, name: str) -> settings.RouterSettings:
-    """Returns the settings in a text; `name` stands in the errors."""
+    """Returns the settings in a text; errors name the file as `name`."""
     document = yaml_nodes.parse(text, name)
     result = structure(document, settings.RouterSettings)
     check(document, rule_sets.settings_problems(result))
@@ -54,7 +54,12 @@
 def parse_configuration(
     text: str | bytes, name: str
 ) -> configuration.Configuration:
-    """Returns the configuration in a text; `name` stands in the errors."""
+    """Returns the configuration in a text.
+
+    Args:
+        text: YAML text.
+        name: Name of the file, used in errors.
+    """
     document = yaml_nodes.parse(text, name)
     result = structure(document, configuration.Configuration)
     check(document, rule_sets.problems(result))
@@ -62,35 +67,50 @@
 
 
 def read_file(path: str | pathlib.Path) -> bytes:
-    """Returns the bytes of a file, one more than are allowed at most."""
+    """Returns the content of a file.
+
+    Reads at most one byte more than `MAX_TEXT_BYTES`, by which the parser
+    detects a file that is too long.
+
+    Raises:
+        DocumentErrors: The file cannot be read.
+    """
     try:
         with pathlib.Path(path).open('rb') as stream:
             return stream.read(yaml_nodes.MAX_TEXT_BYTES + 1)
     except OSError as exc:
         reason = exc.strerror or str(exc)
-        raise yaml_nodes.refuse(
+        raise yaml_nodes.unreadable(
             str(path), 1, reason, 'a readable file'
         ) from exc
 
 
 def structure(document: yaml_nodes.Document, cls: type[T]) -> T:
-    """Returns the document as an attrs class."""
+    """Returns the document as an instance of an attrs class.
+
+    Raises:
+        DocumentErrors: Values are invalid; holds all errors found.
+    """
     try:
         return structuring.CONVERTER.structure(document.value, cls)
     except (cattrs.BaseValidationError, units.Fault) as exc:
-        faults = sorted(translate(document, exc, ()), key=place)
+        faults = sorted(translate(document, exc, ()), key=sort_key)
     raise errors.DocumentErrors(f'{document.name} cannot be used', faults)
 
 
-def place(fault: errors.DocumentError) -> tuple[int, str]:
-    """Returns what faults are sorted by."""
+def sort_key(fault: errors.DocumentError) -> tuple[int, str]:
+    """Returns the key that orders faults by line, then by path."""
     return fault.line, fault.key
 
 
 def check(
     document: yaml_nodes.Document, problems: list[rule_sets.Problem]
 ) -> None:
-    """Raises the problems with their lines, if there are any."""
+    """Checks that there are no problems.
+
+    Raises:
+        DocumentErrors: There are; each is given its line in the document.
+    """
     faults = [
         document.fault(problem.path, problem.fault, problem.allowed)
         for problem in problems
@@ -102,10 +122,16 @@
 def translate(
     document: yaml_nodes.Document, exc: Exception, path: tuple[Any, ...]
 ) -> Iterator[errors.DocumentError]:
-    """Yields the faults within an error of cattrs, each with its place."""
+    """Yields the faults within a cattrs error, each with line and path.
+
+    Args:
+        document: The document that was structured.
+        exc: The error, or one nested in it.
+        path: Path of the value that the error belongs to.
+    """
     if isinstance(exc, cattrs.BaseValidationError):
         for inner in exc.exceptions:
-            yield from translate(document, inner, (*path, *step(inner)))
+            yield from translate(document, inner, (*path, *path_step(inner)))
     elif isinstance(exc, cattrs.ForbiddenExtraKeysError):
         names = ', '.join(field.name for field in attrs.fields(exc.cl))
         for key in sorted(exc.extra_fields):
@@ -118,8 +144,8 @@
         yield document.fault(path, str(exc), 'see the reference')
 
 
-def step(exc: Exception) -> tuple[Any, ...]:
-    """Returns the part of the path that cattrs noted on an error."""
+def path_step(exc: Exception) -> tuple[Any, ...]:
+    """Returns the path component in the notes cattrs added to an error."""
     for note in getattr(exc, '__notes__', ()):
         if isinstance(note, cattrs.AttributeValidationNote):
             return (note.name,)
@@ -128,10 +154,10 @@
     return ()
 
 
-def dump_configuration(item: configuration.Configuration) -> str:
-    """Returns the text that `parse_configuration` reads the same from."""
+def dump_configuration(document: configuration.Configuration) -> str:
+    """Returns YAML that `parse_configuration` parses to an equal value."""
     return yaml.dump(
-        structuring.CONVERTER.unstructure(item),
+        structuring.CONVERTER.unstructure(document),
         Dumper=Dumper,
         sort_keys=False,
         allow_unicode=True,
@@ -140,15 +166,15 @@
 
 
 class Dumper(yaml.SafeDumper):
-    """Quotes each text that would be read as something else."""
+    """Quotes each string that would be parsed as another type."""
 
     def ignore_aliases(self, data: Any) -> bool:
-        """Writes equal parts out each time."""
+        """Returns True: repeated values are written out, not aliased."""
         return True
 
 
 def represent_text(dumper: Dumper, value: str) -> yaml.Node:
-    """Returns the node of a text."""
+    """Returns the scalar node of a string, quoted if necessary."""
     plain = yaml_nodes.resolve(value) is value
     style = None if plain else "'"
     return dumper.represent_scalar('tag:yaml.org,2002:str', value, style=style)
--- a/lavenderbend/protocol/etcd.py
+++ b/lavenderbend/protocol/etcd.py
@@ -1,4 +1,7 @@
-"""Bodies of the published etcd v3 HTTP/JSON gateway, as far as used."""
+"""Request and response bodies of the etcd v3 HTTP/JSON gateway.
+
+Only the published calls and fields that this program uses.
+"""
 
 from __future__ import annotations
 
@@ -27,10 +30,10 @@
 
 @attrs.frozen
 class Compare:
-    """A condition of a transaction.
+    """A comparison that guards a transaction.
 
     Attributes:
-        key: The key.
+        key: The key whose revision is compared.
         target: `CREATE` or `MOD`.
         result: `EQUAL` or `GREATER`.
         revision: The revision to compare with.
@@ -43,7 +46,7 @@
 
 
 def to_base64(value: str | bytes) -> str:
-    """Returns bytes or text in base64."""
+    """Returns bytes, or a text as UTF-8, in base64."""
     data = value.encode() if isinstance(value, str) else value
     return base64.b64encode(data).decode()
 
@@ -60,47 +63,52 @@
         raise errors.CodecError(f'not base64: {exc}') from exc
 
 
-def number(value: Any) -> int:
-    """Returns a 64-bit number, which JSON carries as text; absent is 0.
+def parse_integer(value: Any) -> int:
+    """Returns a 64-bit integer, which JSON carries as a string; None is 0.
 
     Raises:
-        CodecError: It is no number.
+        CodecError: It is not an integer.
     """
     try:
         return int(value or 0)
     except (TypeError, ValueError) as exc:
-        raise errors.CodecError(f'not a number: {value!r}') from exc
+        raise errors.CodecError(f'not an integer: {value!r}') from exc
 
 
 def revision_of(body: dict[str, Any]) -> int:
-    """Returns the store revision in the header of an answer."""
-    return number(body.get('header', {}).get('revision'))
+    """Returns the store revision in the header of a response."""
+    return parse_integer(body.get('header', {}).get('revision'))
 
 
-def item_from_wire(body: dict[str, Any]) -> key_values.KeyValue:
-    """Returns a key from its JSON form."""
+def key_value_from_wire(body: dict[str, Any]) -> key_values.KeyValue:
+    """Returns a key-value pair from its JSON form."""
     return key_values.KeyValue(
         key=from_base64(body.get('key', '')).decode(),
         value=from_base64(body.get('value', '')),
-        create_revision=number(body.get('create_revision')),
-        mod_revision=number(body.get('mod_revision')),
-        lease=number(body.get('lease')),
+        create_revision=parse_integer(body.get('create_revision')),
+        mod_revision=parse_integer(body.get('mod_revision')),
+        lease=parse_integer(body.get('lease')),
     )
 
 
-def item_to_wire(item: Any) -> dict[str, Any]:
-    """Returns the JSON form of a key."""
+def key_value_to_wire(key_value: Any) -> dict[str, Any]:
+    """Returns the JSON form of a key-value pair."""
     return {
-        'key': to_base64(item.key),
-        'value': to_base64(item.value),
-        'create_revision': str(item.create_revision),
-        'mod_revision': str(item.mod_revision),
-        'lease': str(item.lease),
+        'key': to_base64(key_value.key),
+        'value': to_base64(key_value.value),
+        'create_revision': str(key_value.create_revision),
+        'mod_revision': str(key_value.mod_revision),
+        'lease': str(key_value.lease),
     }
 
 
 def key_range(key: str, end: str | None) -> dict[str, Any]:
-    """Returns the members that name one key or a range."""
+    """Returns the fields that select one key or a range.
+
+    Args:
+        key: The key, or the first key of the range.
+        end: End of the range, exclusive; None for one key.
+    """
     body: dict[str, Any] = {'key': to_base64(key)}
     if end is not None:
         body['range_end'] = to_base64(end)
@@ -108,7 +116,7 @@
 
 
 def compare_to_wire(compare: Compare) -> dict[str, Any]:
-    """Returns the JSON form of a condition."""
+    """Returns the JSON form of a comparison."""
     field = 'create_revision' if compare.target == 'CREATE' else 'mod_revision'
     return {
         'key': to_base64(compare.key),
@@ -119,21 +127,21 @@
 
 
 def compare_from_wire(body: dict[str, Any]) -> Compare:
-    """Returns a condition from its JSON form."""
+    """Returns a comparison from its JSON form."""
     target = body.get('target', 'VERSION')
     field = 'create_revision' if target == 'CREATE' else 'mod_revision'
     return Compare(
         key=from_base64(body['key']).decode(),
         target=target,
         result=body.get('result', 'EQUAL'),
-        revision=number(body.get(field)),
+        revision=parse_integer(body.get(field)),
     )
 
 
 def put_txn(
     compares: tuple[Compare, ...], key: str, value: bytes, lease: int
 ) -> dict[str, Any]:
-    """Returns a transaction that writes a key if all conditions hold."""
+    """Returns a transaction that puts a key if all comparisons hold."""
     put = {
         'key': to_base64(key),
         'value': to_base64(value),
@@ -146,7 +154,14 @@
 
 
 def delete_txn(key: str, end: str | None, mod_revision: int) -> dict[str, Any]:
-    """Returns a transaction that deletes a key still at a revision."""
+    """Returns a transaction that deletes keys.
+
+    Args:
+        key: The key, or the first key of the range.
+        end: End of the range, exclusive; None for one key.
+        mod_revision: Nothing is deleted unless `key` was last modified at
+            this revision.
+    """
     compare = Compare(key, 'MOD', 'EQUAL', mod_revision)
     return {
         'compare': [compare_to_wire(compare)],
--- a/lavenderbend/protocol/hop_headers.py
+++ b/lavenderbend/protocol/hop_headers.py
@@ -1,4 +1,4 @@
-"""Headers that concern only one connection."""
+"""Hop-by-hop headers, which apply to a single connection."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Returns the headers that are passed on.
+    """Returns the end-to-end headers, which are forwarded.
 
-    Beside the well-known ones, those that `Connection` names stay out.
+    Drops the standard hop-by-hop headers and those that `Connection` lists.
     """
     dropped = HOP_HEADERS
     for name, value in headers:
         if name == b'connection':
-            named = {part.strip().lower() for part in value.split(b',')}
-            dropped = dropped | named
-    return tuple(item for item in headers if item[0] not in dropped)
+            listed = {token.strip().lower() for token in value.split(b',')}
+            dropped = dropped | listed
+    return tuple(header for header in headers if header[0] not in dropped)
--- a/lavenderbend/protocol/http_limits.py
+++ b/lavenderbend/protocol/http_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what callers and upstreams may make a router hold."""
+"""Limits on the memory and time that callers and upstreams can take up."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 @attrs.frozen
 class HttpLimits:
-    """Limits of the callers' and the operators' server.
+    """Limits of the HTTP servers for callers and for operators.
 
     Attributes:
-        header_bytes: Request line and headers together.
-        body_bytes: Body of a request.
-        body_seconds: Time within which the body must have come.
+        header_bytes: Maximum size of request line and headers together.
+        body_bytes: Maximum size of a request body.
+        body_seconds: Time within which the whole body must be received.
         idle_seconds: Time a connection may stay open without a request.
         send_seconds: Time a caller may take to accept one write.
-        connections: Open connections; more are closed at once.
-        send_buffer_bytes: Kernel send buffer of a connection, 0 for the
-            system's own choice.
+        connections: Maximum number of open connections; further ones are
+            closed at once.
+        send_buffer_bytes: Size of a connection's kernel send buffer, 0 for
+            the system's default.
     """
 
     header_bytes: int = 32 * KIB
@@ -34,18 +35,18 @@
 
 @attrs.frozen
 class AnswerLimits:
-    """Limits on the answers of upstreams.
+    """Limits on the responses of upstreams.
 
     Attributes:
-        event_bytes: One server-sent event.
-        whole_bytes: A whole model answer, which is held until it is
+        event_bytes: Maximum size of one server-sent event.
+        answer_bytes: Maximum size of an answer that is buffered until it is
             complete.
-        stall_seconds: Time without a byte after which an answer counts as
-            broken.
-        close_seconds: Time that ending an exchange may take.
+        stall_seconds: Time without a received byte after which a response
+            is treated as broken.
+        close_seconds: Time that closing an exchange may take.
     """
 
     event_bytes: int = 256 * KIB
-    whole_bytes: int = 8 * MIB
+    answer_bytes: int = 8 * MIB
     stall_seconds: float = 30.0
     close_seconds: float = 1.0
--- a/lavenderbend/protocol/message_fields.py
+++ b/lavenderbend/protocol/message_fields.py
@@ -1,8 +1,9 @@
-"""Checks of what the fields of a message hold.
+"""Validators of the types of message fields.
 
-A message of another program, or of a router of another version, can be read as
-one of ours though its fields hold something else. What takes it in would fail
-far from here, and the whole router with it.
+A message from another program, or from a router of another version, can decode
+as one of this protocol although its fields have other types. Without
+validation, the error would occur far from the decoding, in the code that uses
+the message, and would end the whole router.
 """
 
 from __future__ import annotations
@@ -18,15 +19,15 @@
     import attrs
 
 TEXT = validators.instance_of(str)
-WHOLE = validators.instance_of(int)
+INTEGER = validators.instance_of(int)
 NUMBER = validators.instance_of((int, float))
 FLAG = validators.instance_of(bool)
 PACKED = validators.instance_of(bytes)
-MAYBE_NUMBER = validators.optional(NUMBER)
+OPTIONAL_NUMBER = validators.optional(NUMBER)
 
 
 def rows_of(*types: type) -> Callable[[Any, attrs.Attribute, Any], None]:
-    """Returns a check that a field is a list of rows with these columns."""
+    """Returns a validator for a list of rows with columns of these types."""
 
     def check(_message: Any, field: attrs.Attribute, rows: Any) -> None:
         if not isinstance(rows, list):
@@ -39,7 +40,7 @@
 
 
 def is_row(row: Any, types: tuple[type, ...]) -> bool:
-    """Returns whether a row has columns of these types."""
+    """Returns whether a value is a list with members of these types."""
     if not isinstance(row, list) or len(row) != len(types):
         return False
     return all(map(isinstance, row, types))
--- a/lavenderbend/protocol/messages_agreed.py
+++ b/lavenderbend/protocol/messages_agreed.py
@@ -1,4 +1,4 @@
-"""Messages between routers about what is agreed and kept."""
+"""Messages about configuration revisions, claims and their outcomes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @peer.message(20)
 @attrs.frozen
-class RevisionSay(peer.Message):
-    """The configuration revision in force at the sender.
+class RevisionNotice(peer.Message):
+    """Notice of the configuration revision in force at the sender.
 
     Attributes:
-        number: Its number, 0 for none.
-        digest: Its digest.
+        number: Number of the revision, 0 for none.
+        digest: Digest of its document.
     """
 
     number: int
@@ -23,8 +23,13 @@
 
 @peer.message(21)
 @attrs.frozen
-class RevisionAsk(peer.Message):
-    """Says the sender's revision and asks for the receiver's."""
+class RevisionRequest(peer.Message):
+    """Requests the receiver's revision and states the sender's.
+
+    Attributes:
+        number: Number of the sender's revision, 0 for none.
+        digest: Digest of its document.
+    """
 
     number: int
     digest: str
@@ -32,11 +37,11 @@
 
 @peer.message(22)
 @attrs.frozen
-class EntriesAsk(peer.Message):
-    """Asks for the changes after a revision.
+class EntriesRequest(peer.Message):
+    """Requests the changes after a revision.
 
     Attributes:
-        after: Number of the revision that the sender has.
+        after: Number of the sender's revision.
     """
 
     after: int
@@ -44,13 +49,13 @@
 
 @peer.message(23)
 @attrs.frozen
-class EntriesAnswer(peer.Message):
-    """Changes in order, or a whole revision if those are not kept.
+class EntriesReply(peer.Message):
+    """Changes in order, or a snapshot if they are no longer retained.
 
     Attributes:
         first: Number of the first change.
-        records: The changes as they stand in the log.
-        snapshot: The whole revision, empty if the changes are given.
+        records: The changes, encoded as in the log.
+        snapshot: The whole revision, empty if `records` has the changes.
     """
 
     first: int
@@ -60,35 +65,35 @@
 
 @peer.message(30)
 @attrs.frozen
-class ClaimAsk(peer.Message):
-    """Asks the owner of a shard to commit a claim.
+class ClaimCommitRequest(peer.Message):
+    """Requests the owner of a shard to commit a claim.
 
     Attributes:
         shard: Number of the shard.
         key: Hash of customer and idempotency key.
-        token: Unlike that of any other claim.
-        digest: Hash of the body.
-        patience: Seconds that the sender waits for an answer.
-        shards: How many shards there are for the sender.
+        token: Unique token of the claim.
+        digest: Hash of the request body.
+        timeout_seconds: How long the sender waits for the reply.
+        shards: Number of shards in the sender's settings.
     """
 
     shard: int
     key: bytes
     token: bytes
     digest: bytes
-    patience: float
+    timeout_seconds: float
     shards: int = 1
 
 
 @peer.message(31)
 @attrs.frozen
-class ClaimAnswer(peer.Message):
-    """Where the claim stands.
+class ClaimReply(peer.Message):
+    """The state of a claim.
 
     Attributes:
         state: Value of `claims.ClaimState`.
-        outcome: Value of `errors.Outcome` when it is recorded.
-        status: HTTP status that the first caller was told.
+        outcome: Value of `errors.Outcome` if it is recorded, else empty.
+        status: HTTP status of the response to the first caller.
     """
 
     state: str
@@ -98,16 +103,16 @@
 
 @peer.message(32)
 @attrs.frozen
-class OutcomesSay(peer.Message):
-    """Asks the owner of a shard to record outcomes; the lists are parallel.
+class OutcomesCommitRequest(peer.Message):
+    """Requests the owner of a shard to record outcomes; lists are parallel.
 
     Attributes:
         shard: Number of the shard.
         keys: Hashes of customer and idempotency key.
         tokens: Tokens of the claims.
         outcomes: Values of `errors.Outcome`.
-        statuses: HTTP statuses that the callers were told, or None.
-        patience: Seconds that the sender waits for an answer.
+        statuses: HTTP statuses of the responses to the callers, or None.
+        timeout_seconds: How long the sender waits for the reply.
     """
 
     shard: int
@@ -115,16 +120,16 @@
     tokens: list[bytes]
     outcomes: list[str]
     statuses: list[int | None]
-    patience: float
+    timeout_seconds: float
 
 
 @peer.message(33)
 @attrs.frozen
-class OutcomesAnswer(peer.Message):
-    """Says whether the outcomes were committed.
+class OutcomesReply(peer.Message):
+    """States whether the outcomes were committed.
 
     Attributes:
-        committed: False if the sender is to try again.
+        committed: False if the sender must retry.
     """
 
     committed: bool
@@ -132,14 +137,14 @@
 
 @peer.message(34)
 @attrs.frozen
-class ClaimLook(peer.Message):
-    """Asks what the receiver's table knows of a key, without writing.
+class ClaimLookup(peer.Message):
+    """Requests the state of a key in the receiver's table, without a write.
 
     Attributes:
         shard: Number of the shard.
         key: Hash of customer and idempotency key.
-        token: Token of the asker's claim.
-        digest: Hash of the body.
+        token: Token of the sender's claim.
+        digest: Hash of the request body.
     """
 
     shard: int
--- a/lavenderbend/protocol/messages_decisions.py
+++ b/lavenderbend/protocol/messages_decisions.py
@@ -1,8 +1,8 @@
 """Messages of admission, quarantine and limits.
 
-Names go over the wire as 32-bit hashes (`short_id`): a collision would need
-two pools, customers or upstreams of one site to share one, and each message
-would be several times as large with the names.
+Names are sent as 32-bit hashes (`short_id`): with full names each message would
+be several times as large, and a collision requires that two pools, customers or
+upstreams of one site have the same hash.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 @peer.message(50)
 @attrs.frozen
 class PermitRequest(peer.Message):
-    """Asks the owner of a group for a permit; idempotent by `number`.
+    """Requests a permit from a group's owner; idempotent by `number`.
 
     Attributes:
-        number: The entry's number for this permit.
+        number: Number that the entry router gave the permit.
         pool: Short id of the pool.
         group: Index of the group within the pool.
         customer: Short id of the customer.
@@ -38,13 +38,14 @@
         adapter: Short id of the adapter, if any.
         priority: Priority of the request.
         prompt_tokens: Estimated size of the prompt.
-        left: Milliseconds until the deadline.
-        hold: Milliseconds that the owner may hold its answer.
+        milliseconds_left: Time until the deadline.
+        hold_milliseconds: How long the owner may delay its reply while the
+            request is queued.
         avoid: Short ids of upstreams not to use.
-        hops: Groups of the pool that sent the request on.
-        suspect: Whether it was on an upstream that died.
-        held: Permits of this owner in the group that the entry holds, None
-            from an entry that does not say.
+        hops: Number of groups of the pool that redirected the request.
+        suspect: Whether it was running on an upstream that crashed.
+        held_permits: Number of this owner's permits in the group that the
+            entry router holds, None if it does not state it.
     """
 
     number: int
@@ -56,23 +57,24 @@
     adapter: int | None
     priority: int
     prompt_tokens: int
-    left: int
-    hold: int = 0
+    milliseconds_left: int
+    hold_milliseconds: int = 0
     avoid: list[int] = attrs.field(factory=list)
     hops: int = 0
     suspect: bool = False
-    held: int | None = None
+    held_permits: int | None = None
 
 
 @peer.message(51)
 @attrs.frozen
 class PermitGrant(peer.Message):
-    """The permit that was asked for.
+    """Grants a permit in reply to a `PermitRequest` or `PermitPoll`.
 
     Attributes:
         upstream: Short id of the upstream.
         reason: Index in `placement.REASONS`.
-        passed_over: Pairs of short id and index in `placement.REASONS`.
+        passed_over: Pairs of the short id of an upstream not chosen and the
+            index of the reason in `placement.REASONS`, in one flat list.
     """
 
     upstream: int
@@ -83,17 +85,17 @@
 @peer.message(52)
 @attrs.frozen
 class PermitWaiting(peer.Message):
-    """The request waits at the owner; ask again with the same number."""
+    """The request is queued at the owner; poll with the same number."""
 
 
 @peer.message(53)
 @attrs.frozen
 class PermitRelease(peer.Message):
-    """Notice that permits are no longer used.
+    """Notice that permits are no longer in use.
 
     Attributes:
-        numbers: The entry's numbers of those permits.
-        unused: Whether nothing was sent with them.
+        numbers: Numbers that the entry router gave the permits.
+        unused: Whether no request was sent under them.
     """
 
     numbers: list[int]
@@ -103,14 +105,14 @@
 @peer.message(54)
 @attrs.frozen
 class PermitRegister(peer.Message):
-    """Notice of all live permits of an entry in a group, to its owner.
+    """Notice to a group's owner of all permits an entry router holds there.
 
     Attributes:
         pool: Short id of the pool.
         group: Index of the group.
         numbers: Number of each permit.
         upstreams: Short id of the upstream of each.
-        ages: Tenths of a second since each was granted.
+        ages: Time since each was granted, in tenths of a second.
         customers: Short id of the customer of each.
     """
 
@@ -124,8 +126,8 @@
 
 @peer.message(55)
 @attrs.frozen
-class PermitMoved(peer.Message):
-    """Notice that the entry now sees another router as the owner.
+class PermitOwnerChanged(peer.Message):
+    """Notice that the entry router now regards another router as the owner.
 
     Attributes:
         pool: Short id of the pool.
@@ -139,13 +141,13 @@
 @peer.message(56)
 @attrs.frozen
 class PermitDigest(peer.Message):
-    """Heartbeat of an entry to an owner with the sums of its permits.
+    """Heartbeat of an entry router to an owner with digests of its permits.
 
     Attributes:
         pools: Short id of the pool of each group.
         groups: Index of each group.
-        counts: Live permits in each group.
-        digests: Exclusive or of their numbers.
+        counts: Number of permits held in each group.
+        digests: Exclusive or of the permit numbers of each group.
     """
 
     pools: list[int]
@@ -157,7 +159,7 @@
 @peer.message(57)
 @attrs.frozen
 class PermitResync(peer.Message):
-    """Notice by an owner that the sums differ; asks for `PermitRegister`.
+    """Notice by an owner that digests differ; requests `PermitRegister`.
 
     Attributes:
         pool: Short id of the pool.
@@ -170,12 +172,13 @@
 
 @peer.message(58)
 @attrs.frozen
-class PermitElsewhere(peer.Message):
-    """Another group of the pool has more room; ask its owner.
+class PermitRedirect(peer.Message):
+    """Redirects a permit request to another group of the pool.
 
     Attributes:
-        group: Index of that group, None if the entry is to choose because
-            this one has no upstream that serves the model.
+        group: Index of the group with more headroom. None if this group has
+            no upstream that serves the model; the entry router then chooses
+            another.
     """
 
     group: int | None
@@ -183,16 +186,18 @@
 
 @peer.message(59)
 @attrs.frozen
-class PlacesCopy(peer.Message):
-    """Where chats are, to the standby of a group's owner; asks for an answer.
+class ReplicatedPlaces(peer.Message):
+    """Copy of the places of chats for the standby of a group's owner.
+
+    Sent as a request, so that its receipt is acknowledged.
 
     Attributes:
         pool: Short id of the pool.
         group: Index of the group.
         upstreams: Short ids of upstreams.
-        instances: Short id of the instance of each.
+        instances: Short id of the instance of each upstream.
         chats: Upper 32 bits of chat hashes.
-        indices: Position in `upstreams` for each chat.
+        indices: Index into `upstreams` for each chat.
     """
 
     pool: int
@@ -205,14 +210,14 @@
 
 @peer.message(63)
 @attrs.frozen
-class GroupSums(peer.Message):
-    """Notice of the load of groups, to the owners of the pool's others.
+class GroupTotals(peer.Message):
+    """Notice of the load of groups, to the owners of the pool's other groups.
 
     Attributes:
         pool: Short id of the pool.
         groups: Index of each group.
-        loads: Load of each.
-        engines: Upstreams in each.
+        loads: Total load of each group.
+        engines: Number of upstreams in each group.
     """
 
     pool: int
@@ -224,31 +229,32 @@
 @peer.message(64)
 @attrs.frozen
 class PermitPoll(peer.Message):
-    """Asks how a waiting request stands.
+    """Requests the state of a queued permit request.
 
     Attributes:
-        number: The entry's number for the permit.
+        number: Number that the entry router gave the permit.
         pool: Short id of the pool.
         group: Index of the group.
-        hold: Milliseconds that the owner may hold its answer.
+        hold_milliseconds: How long the owner may delay its reply while the
+            request is queued.
     """
 
     number: int
     pool: int
     group: int
-    hold: int
+    hold_milliseconds: int
 
 
 @peer.message(60)
 @attrs.frozen
 class CrashSeen(peer.Message):
-    """Notice that an upstream died while it ran some requests.
+    """Notice that an upstream crashed while it ran requests.
 
     Attributes:
         upstream: Short id of the upstream.
         instance: Short id of its instance.
-        fingerprints: Of the requests that the sender had there.
-        fresh: Those that had only just been sent there.
+        fingerprints: Fingerprints of the sender's requests there.
+        fresh: Those of requests sent only shortly before the crash.
     """
 
     upstream: int
@@ -263,8 +269,8 @@
     """Notice that a request crashes the upstreams that run it.
 
     Attributes:
-        fingerprint: Of the request.
-        seconds: How long it stays quarantined.
+        fingerprint: Fingerprint of the request.
+        seconds: Duration of the quarantine.
     """
 
     fingerprint: int
@@ -274,10 +280,10 @@
 @peer.message(62)
 @attrs.frozen
 class SuspectCleared(peer.Message):
-    """Notice that an upstream ran suspect requests and is alive.
+    """Notice that an upstream ran suspect requests without a crash.
 
     Attributes:
-        fingerprints: Of the requests.
+        fingerprints: Fingerprints of the requests.
     """
 
     fingerprints: list[int]
@@ -286,31 +292,34 @@
 @peer.message(65)
 @attrs.frozen
 class CustomerDemand(peer.Message):
-    """Notice of the tokens that a router wants, to the customers' home.
+    """Notice of a router's token deficits to the customers' home router.
 
     Attributes:
         customers: Short ids of customers with a limit.
-        rates: Empty, so that routers of the version before take nothing for
-            a demand.
-        wants: Tokens that it wants of each; below 0, what it gives back.
-        held: Tokens that it has of each, after giving back.
+        rates: Empty, so that routers of the previous version do not read
+            demands from the message.
+        deficits: Tokens requested for each customer; a negative number is
+            the count of tokens returned.
+        held_tokens: Tokens that the router holds for each customer, after
+            the return.
     """
 
     customers: list[int]
     rates: list[int]
-    wants: list[int] = attrs.field(factory=list)
-    held: list[int] = attrs.field(factory=list)
+    deficits: list[int] = attrs.field(factory=list)
+    held_tokens: list[int] = attrs.field(factory=list)
 
 
 @peer.message(66)
 @attrs.frozen
 class CustomerShare(peer.Message):
-    """Notice of tokens that a home router lends.
+    """Notice of tokens that a home router grants to another router.
 
     Attributes:
         customers: Short ids of customers.
-        rates: Empty, as above.
-        tokens: Whole requests that the router may pass, of each.
+        rates: Empty, so that routers of the previous version do not read
+            shares from the message.
+        tokens: Tokens granted for each customer; one admits one request.
     """
 
     customers: list[int]
--- a/lavenderbend/protocol/messages_forwarding.py
+++ b/lavenderbend/protocol/messages_forwarding.py
@@ -11,63 +11,68 @@
 @peer.message(104)
 @attrs.frozen
 class RouterState(peer.Message):
-    """What a router tells others of itself and of what it heard.
+    """Gossip of a router about itself and what it received from others.
 
-    Each message stands for itself, and fits one datagram at any size of the
-    fleet: what grows with the fleet is told in parts.
+    Each message can be used without the others, and fits into one datagram at
+    any fleet size: state that grows with the fleet is sent in parts.
 
     Attributes:
-        name: The router.
-        incarnation: Changes with each start of its process.
-        host: IP number at which peers reach it.
-        zone: Its availability zone.
-        leaving: Whether it is stopping.
-        asks: Whether an answer is wanted, with what a new router needs.
-        sent_at: Its suspension clock when this was made, in seconds.
-        echo_incarnation: Incarnation of the receiver whose message it
-            heard last.
+        name: Name of the sender.
+        incarnation: Differs for each start of the sender's process.
+        host: IPv4 address at which peers reach the sender.
+        zone: The sender's availability zone.
+        leaving: Whether the sender is stopping.
+        reply_requested: Whether the receiver should reply with the state that
+            a new router needs.
+        sent_at: The sender's suspension clock at the time of sending, in
+            seconds.
+        echo_incarnation: Incarnation of the receiver in the last message that
+            the sender received from it.
         echo_at: `sent_at` of that message, None if there was none.
-        echo_held: Seconds since it heard that message.
-        proof_age: Seconds since its snapshot was the newest, None if it
-            has none.
-        revision: Revision of its snapshot.
-        digest: Digest of its snapshot.
-        bound: Most routers that it counted lately.
-        zones: Lists of a zone, the routers alive there, and the age of that
-            count in milliseconds.
+        echo_delay: Seconds since the sender received that message.
+        proof_age: Seconds since the sender's snapshot was known to be the
+            newest, None if it has no snapshot.
+        revision: Revision of the sender's snapshot.
+        digest: Digest of the sender's snapshot.
+        peak_routers: Largest recent router count of the sender.
+        zones: Lists of an availability zone, the number of routers alive
+            there, and the age of that count in milliseconds.
         facts: Lists of a kind, a subject, a source, an age and a duration,
             both in milliseconds.
-        heard: Routers of its zone and when they were heard, packed.
+        same_zone_hosts: Routers of the sender's zone and the time since each
+            was last seen, packed.
         reports: Upstreams and the loads that they reported, packed.
-        requests: Upstreams and this router's own requests there, packed.
-        hosts: Lists of another zone and routers there, packed.
-        prompts: Prompt parts and upstreams that hold them, packed.
+        requests: Upstreams and the number of the sender's own requests there,
+            packed.
+        other_zone_hosts: Lists of another zone and its routers, the latter
+            packed.
+        prompts: Prompt parts and the upstreams that have them cached, packed.
     """
 
     name: str = attrs.field(validator=fields.TEXT)
-    incarnation: int = attrs.field(validator=fields.WHOLE)
+    incarnation: int = attrs.field(validator=fields.INTEGER)
     host: str = attrs.field(validator=fields.TEXT)
     zone: str = attrs.field(validator=fields.TEXT)
     leaving: bool = attrs.field(validator=fields.FLAG)
-    asks: bool = attrs.field(validator=fields.FLAG)
+    reply_requested: bool = attrs.field(validator=fields.FLAG)
     sent_at: float = attrs.field(validator=fields.NUMBER)
-    echo_incarnation: int = attrs.field(validator=fields.WHOLE)
-    echo_at: float | None = attrs.field(validator=fields.MAYBE_NUMBER)
-    echo_held: float = attrs.field(validator=fields.NUMBER)
-    proof_age: float | None = attrs.field(validator=fields.MAYBE_NUMBER)
-    revision: int = attrs.field(validator=fields.WHOLE)
-    digest: int = attrs.field(validator=fields.WHOLE)
-    bound: int = attrs.field(validator=fields.WHOLE, default=0)
+    echo_incarnation: int = attrs.field(validator=fields.INTEGER)
+    echo_at: float | None = attrs.field(validator=fields.OPTIONAL_NUMBER)
+    echo_delay: float = attrs.field(validator=fields.NUMBER)
+    proof_age: float | None = attrs.field(validator=fields.OPTIONAL_NUMBER)
+    revision: int = attrs.field(validator=fields.INTEGER)
+    digest: int = attrs.field(validator=fields.INTEGER)
+    peak_routers: int = attrs.field(validator=fields.INTEGER, default=0)
     zones: list[list[str | int]] = attrs.field(
         factory=list, validator=fields.rows_of(str, int, int)
     )
     facts: list[list[str | int]] = attrs.field(
         factory=list, validator=fields.rows_of(str, str, str, int, int)
     )
-    heard: bytes = attrs.field(validator=fields.PACKED, default=b'')
+    same_zone_hosts: bytes = attrs.field(validator=fields.PACKED, default=b'')
     reports: bytes = attrs.field(validator=fields.PACKED, default=b'')
     requests: bytes = attrs.field(validator=fields.PACKED, default=b'')
-    hosts: list[list[str | bytes]] = attrs.field(
+    other_zone_hosts: list[list[str | bytes]] = attrs.field(
         factory=list, validator=fields.rows_of(str, bytes)
     )
     prompts: bytes = attrs.field(validator=fields.PACKED, default=b'')
@@ -76,99 +81,101 @@
 @peer.message(101)
 @attrs.frozen
 class SnapshotContent(peer.Message):
-    """A snapshot for a router that knows an earlier one.
+    """A snapshot, as changes to the one that the receiver has.
 
     Attributes:
         revision: Revision of the store.
         changed: Key, revision and value of each item that changed since the
-            revision that was asked for.
-        keys: All keys that the store held; None if `removed` says it all.
-        removed: Keys that are gone since that revision.
-        digest: Digest of the whole snapshot, by which the receiver knows
-            that the changes fit what it has.
+            revision in the request.
+        keys: All keys in the store; None if `removed` is complete.
+        removed: Keys removed since the revision in the request.
+        digest: Digest of the whole snapshot, by which the receiver verifies
+            that the changes fit the snapshot it has.
     """
 
-    revision: int = attrs.field(validator=fields.WHOLE)
+    revision: int = attrs.field(validator=fields.INTEGER)
     changed: list[list[str | int | bytes]]
     keys: list[str] | None
     removed: list[str]
-    digest: int = attrs.field(validator=fields.WHOLE)
+    digest: int = attrs.field(validator=fields.INTEGER)
 
 
 @peer.message(103)
 @attrs.frozen
-class SnapshotWanted(peer.Message):
-    """Asks a router for its snapshot.
+class SnapshotRequest(peer.Message):
+    """Requests a router's snapshot.
 
     Attributes:
-        known_revision: Revision of the snapshot that the asking router has,
-            0 for none.
+        known_revision: Revision of the sender's snapshot, 0 for none.
     """
 
-    known_revision: int = attrs.field(validator=fields.WHOLE)
+    known_revision: int = attrs.field(validator=fields.INTEGER)
 
 
 @peer.message(110)
 @attrs.frozen
 class ReservationRequest(peer.Message):
-    """Asks the owner of an upstream what it holds, and counts a request there.
+    """Requests a reservation and the load of an upstream from its owner.
 
     Attributes:
-        number: Names the reservation among those of the asking router.
-        host: IP number of the asking router.
+        number: Number of the reservation, unique at the sender.
+        host: IPv4 address of the sender.
         upstream: Short id of the upstream.
         zone: The upstream's availability zone.
         chat: Short id of the chat.
-        tokens: Length of its prompt.
-        own_tokens: Length of the part that no other request has.
-        milliseconds: After which the request has ended at the latest.
-        forwarded: Whether another router has passed it on.
+        tokens: Length of the prompt in tokens.
+        own_tokens: Length of the part that no other request has, in tokens.
+        lifetime_milliseconds: Time after which the request has certainly
+            ended.
+        forwarded: Whether another router has relayed the message.
     """
 
-    number: int = attrs.field(validator=fields.WHOLE)
+    number: int = attrs.field(validator=fields.INTEGER)
     host: str = attrs.field(validator=fields.TEXT)
-    upstream: int = attrs.field(validator=fields.WHOLE)
+    upstream: int = attrs.field(validator=fields.INTEGER)
     zone: str = attrs.field(validator=fields.TEXT)
-    chat: int = attrs.field(validator=fields.WHOLE)
-    tokens: int = attrs.field(validator=fields.WHOLE)
-    own_tokens: int = attrs.field(validator=fields.WHOLE)
-    milliseconds: int = attrs.field(validator=fields.WHOLE)
+    chat: int = attrs.field(validator=fields.INTEGER)
+    tokens: int = attrs.field(validator=fields.INTEGER)
+    own_tokens: int = attrs.field(validator=fields.INTEGER)
+    lifetime_milliseconds: int = attrs.field(validator=fields.INTEGER)
     forwarded: bool = attrs.field(validator=fields.FLAG, default=False)
 
 
 @peer.message(111)
 @attrs.frozen
 class ReservationReply(peer.Message):
-    """What an owner knows of an upstream, without the reservation.
+    """State of an upstream at its owner, without the new reservation.
 
     Attributes:
-        number: That of the request.
-        owner: IP number of the router that answers.
+        number: Number in the request.
+        owner: IPv4 address of the sender.
         upstream: Short id of the upstream.
-        load: Requests that it holds.
-        unread: Tokens of their prompts that it has yet to read.
-        holders: Short ids of upstreams that hold the chat, the latest first.
+        load: Number of requests that it holds.
+        unread_tokens: Tokens of their prompts that it has yet to process.
+        holders: Short ids of upstreams that have the chat cached, the latest
+            first.
     """
 
-    number: int = attrs.field(validator=fields.WHOLE)
+    number: int = attrs.field(validator=fields.INTEGER)
     owner: str = attrs.field(validator=fields.TEXT)
-    upstream: int = attrs.field(validator=fields.WHOLE)
-    load: int = attrs.field(validator=fields.WHOLE)
-    unread: int = attrs.field(validator=fields.WHOLE)
+    upstream: int = attrs.field(validator=fields.INTEGER)
+    load: int = attrs.field(validator=fields.INTEGER)
+    unread_tokens: int = attrs.field(validator=fields.INTEGER)
     holders: list[int] = attrs.field(
-        validator=attrs.validators.deep_iterable(fields.WHOLE)
+        validator=attrs.validators.deep_iterable(fields.INTEGER)
     )
 
 
 @peer.message(112)
 @attrs.frozen
 class ReservationNotes(peer.Message):
-    """What became of reservations.
+    """Notice of the progress of reservations.
 
     Attributes:
-        host: IP number of the router that tells.
-        rows: Lists of a kind, the number of a reservation, and short ids of
-            its upstream, of the chat and of the upstream that holds it now.
+        host: IPv4 address of the sender.
+        rows: Lists of a kind, the number of a reservation, and the short ids
+            of its upstream, of the chat and of the upstream that now has the
+            chat cached.
     """
 
     host: str = attrs.field(validator=fields.TEXT)
--- a/lavenderbend/protocol/messages_membership.py
+++ b/lavenderbend/protocol/messages_membership.py
@@ -8,10 +8,10 @@
 
 from lavenderbend.protocol import peer
 
-# what comes from another process is checked before it is taken: a wrong
-# type would otherwise show much later, in the midst of a decision
+# Fields from another process are validated on decoding: otherwise a wrong type
+# would cause an error only much later, while a decision is made.
 TEXT = attrs.validators.instance_of(str)
-WHOLE = attrs.validators.and_(
+NON_NEGATIVE_INTEGER = attrs.validators.and_(
     attrs.validators.instance_of(int), attrs.validators.ge(0)
 )
 SECONDS = attrs.validators.and_(
@@ -19,16 +19,17 @@
     attrs.validators.ge(0),
     attrs.validators.le(300),
 )
-LIST = attrs.validators.instance_of(list)
+UPDATE_LIST = attrs.validators.instance_of(list)
 
 PROTOCOL_VERSION = 1
 MIN_PROTOCOL_VERSION = 1
 
 
 class RouterState(enum.IntEnum):
-    """What one router believes of another; the larger goes first.
+    """State of a router as another router sees it.
 
-    Between two updates of the same incarnation the larger state holds.
+    Of two updates for the same incarnation, the one with the larger state
+    takes precedence.
     """
 
     ALIVE = 0
@@ -38,12 +39,13 @@
 
 
 class FactKind(enum.IntEnum):
-    """What is said of an upstream.
+    """Kind of a fact about an upstream.
 
-    `UNREACHABLE` is said once routers that the observer asked do not reach
-    it either; `REFUSED` by one router alone. `RETURNED` says that it answers,
-    and ends those and the draining of earlier instances; `DRAIN_ENDED` that
-    this very instance has taken its draining back.
+    `UNREACHABLE` is reported after routers that the observer queried cannot
+    reach the upstream either, `REFUSED` by one router alone. `RETURNED`
+    reports that it answers; it ends both, and the draining of earlier
+    instances. `DRAIN_ENDED` reports that the same instance has cancelled its
+    draining.
     """
 
     DRAINING = 0
@@ -54,7 +56,7 @@
 
 
 class ListState(enum.IntEnum):
-    """How far a VM has come in the VM list; it only moves forward."""
+    """Stage of a VM in the VM list; it only advances."""
 
     LIVE = 0
     LEAVING = 1
@@ -69,12 +71,12 @@
     Attributes:
         router: Id of the sender.
         version: Protocol version of the sender.
-        instance: Differs for each process that runs under the id.
+        instance: Number that differs for each process with this id.
     """
 
     router: str = attrs.field(validator=TEXT)
-    version: int = attrs.field(validator=WHOLE)
-    instance: int = attrs.field(default=0, validator=WHOLE)
+    version: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
+    instance: int = attrs.field(default=0, validator=NON_NEGATIVE_INTEGER)
 
 
 @peer.message(81)
@@ -83,7 +85,7 @@
     """The last message of one side of a connection.
 
     Attributes:
-        final: Whether the sender stops and answers nothing any more.
+        final: Whether the sender is stopping and will answer no requests.
     """
 
     final: bool = False
@@ -95,10 +97,10 @@
     """A probe; the answer is `Ack`.
 
     Attributes:
-        updates: Messages by `peer.to_wire`.
+        updates: Updates, each encoded by `peer.to_wire`.
     """
 
-    updates: list = attrs.field(factory=list, validator=LIST)
+    updates: list = attrs.field(factory=list, validator=UPDATE_LIST)
 
 
 @peer.message(83)
@@ -107,46 +109,46 @@
     """The answer to a probe.
 
     Attributes:
-        updates: Messages by `peer.to_wire`.
+        updates: Updates, each encoded by `peer.to_wire`.
     """
 
-    updates: list = attrs.field(factory=list, validator=LIST)
+    updates: list = attrs.field(factory=list, validator=UPDATE_LIST)
 
 
 @peer.message(84)
 @attrs.frozen
 class PingThrough(peer.Message):
-    """Asks a peer to probe another; the answer is `Ack` or a failure.
+    """Requests a peer to probe another; answered by `Ack` or `Failure`.
 
     Attributes:
         target: Router to probe.
-        updates: Messages by `peer.to_wire`.
+        updates: Updates, each encoded by `peer.to_wire`.
     """
 
     target: str = attrs.field(validator=TEXT)
-    updates: list = attrs.field(factory=list, validator=LIST)
+    updates: list = attrs.field(factory=list, validator=UPDATE_LIST)
 
 
 @peer.message(85)
 @attrs.frozen
 class RouterUpdate(peer.Message):
-    """What somebody believes of a router.
+    """State of a router as some router sees it.
 
     Attributes:
-        router: Its id.
+        router: Id of the router.
         state: A `RouterState`.
-        incarnation: Counted up by the router itself only.
-        host: Its peer address, empty if the sender leaves it out.
+        incarnation: Incremented only by the router itself.
+        host: Its peer address, empty if the sender omits it.
         port: Its peer port.
-        availability_zone: Its zone.
+        availability_zone: Its availability zone.
         region: Its region.
     """
 
     router: str = attrs.field(validator=TEXT)
-    state: int = attrs.field(validator=WHOLE)
-    incarnation: int = attrs.field(validator=WHOLE)
+    state: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
+    incarnation: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
     host: str = attrs.field(default='', validator=TEXT)
-    port: int = attrs.field(default=0, validator=WHOLE)
+    port: int = attrs.field(default=0, validator=NON_NEGATIVE_INTEGER)
     availability_zone: str = attrs.field(default='', validator=TEXT)
     region: str = attrs.field(default='', validator=TEXT)
 
@@ -154,21 +156,21 @@
 @peer.message(86)
 @attrs.frozen
 class UpstreamFact(peer.Message):
-    """Something that was seen of an upstream and ends with time.
+    """An observation about an upstream that expires.
 
     Attributes:
         upstream: VM id.
         kind: A `FactKind`.
-        observer: Router that saw it first.
-        sequence: Counted up by the observer for each fact.
-        seconds: How long it holds from now.
-        instance: Instance id that it was seen of, empty if unknown.
+        observer: Router that made the observation.
+        sequence: Incremented by the observer for each fact.
+        seconds: Time until the fact expires.
+        instance: Instance id of the upstream, empty if unknown.
     """
 
     upstream: str = attrs.field(validator=TEXT)
-    kind: int = attrs.field(validator=WHOLE)
+    kind: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
     observer: str = attrs.field(validator=TEXT)
-    sequence: int = attrs.field(validator=WHOLE)
+    sequence: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
     seconds: float = attrs.field(validator=SECONDS)
     instance: str = attrs.field(default='', validator=TEXT)
 
@@ -176,23 +178,23 @@
 @peer.message(87)
 @attrs.frozen
 class VmChange(peer.Message):
-    """A VM that the VM list has begun to show otherwise.
+    """A change of a VM in the VM list.
 
     Attributes:
         vm: VM id.
         state: A `ListState`.
-        host: IP number.
+        host: IP address.
         port: Port of its process.
-        availability_zone: Its zone.
+        availability_zone: Its availability zone.
         region: Its region.
         service: Its service.
         kind: Value of its `UpstreamKind`.
     """
 
     vm: str = attrs.field(validator=TEXT)
-    state: int = attrs.field(validator=WHOLE)
+    state: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
     host: str = attrs.field(validator=TEXT)
-    port: int = attrs.field(validator=WHOLE)
+    port: int = attrs.field(validator=NON_NEGATIVE_INTEGER)
     availability_zone: str = attrs.field(validator=TEXT)
     region: str = attrs.field(validator=TEXT)
     service: str = attrs.field(validator=TEXT)
@@ -205,42 +207,42 @@
     """A notice that carries urgent updates.
 
     Attributes:
-        updates: Messages by `peer.to_wire`.
+        updates: Updates, each encoded by `peer.to_wire`.
     """
 
-    updates: list = attrs.field(validator=LIST)
+    updates: list = attrs.field(validator=UPDATE_LIST)
 
 
 @peer.message(89)
 @attrs.frozen
-class SyncAsk(peer.Message):
-    """Asks for all that a router believes; the answer is `SyncAnswer`.
+class SyncRequest(peer.Message):
+    """Requests a router's whole membership state; answered by `SyncReply`.
 
     Attributes:
-        updates: Messages by `peer.to_wire`.
-        want_list: Whether the asker needs the VM list too.
+        updates: Updates, each encoded by `peer.to_wire`.
+        include_vm_list: Whether the reply should include the VM list.
     """
 
-    updates: list = attrs.field(factory=list, validator=LIST)
-    want_list: bool = False
+    updates: list = attrs.field(factory=list, validator=UPDATE_LIST)
+    include_vm_list: bool = False
 
 
 @peer.message(90)
 @attrs.frozen
-class SyncAnswer(peer.Message):
-    """All that a router believes of other routers and of upstreams.
+class SyncReply(peer.Message):
+    """A router's whole state of other routers and of upstreams.
 
     Attributes:
-        updates: Messages by `peer.to_wire`.
+        updates: Updates, each encoded by `peer.to_wire`.
     """
 
-    updates: list = attrs.field(validator=LIST)
+    updates: list = attrs.field(validator=UPDATE_LIST)
 
 
 @peer.message(91)
 @attrs.frozen
 class UpstreamProbe(peer.Message):
-    """Asks a peer whether it reaches an upstream; `Done` or a failure.
+    """Requests a peer to probe an upstream; answered by `Done` or `Failure`.
 
     Attributes:
         upstream: VM id.
--- a/lavenderbend/protocol/openai.py
+++ b/lavenderbend/protocol/openai.py
@@ -1,4 +1,4 @@
-"""The part of the OpenAI chat completions API that a router reads."""
+"""Parsing of the parts of the OpenAI chat completions API in use here."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 @attrs.frozen
 class ChatRequest:
-    """What a router reads from the body of a chat request.
+    """Fields of a chat request that a router uses.
 
     Attributes:
-        model: Model asked for.
-        adapter: Adapter asked for, an extension of the API.
-        stream: Whether the answer is to be streamed.
-        cache_key: `prompt_cache_key`, if the caller gives one.
-        beginning: The messages up to the first one of the user, which stay
-            the same from turn to turn.
-        prompt_tokens: Estimate from the size of the messages.
+        model: Requested model.
+        adapter: Requested adapter, an extension of the API.
+        stream: Whether a streamed response is requested.
+        cache_key: `prompt_cache_key`, None if the caller gives none.
+        prefix: The messages up to and including the first user message,
+            which are the same in each turn of a chat.
+        prompt_tokens: Estimate from the size of the body.
     """
 
     model: str
     adapter: str | None
     stream: bool
     cache_key: str | None
-    beginning: bytes
+    prefix: bytes
     prompt_tokens: int
 
 
@@ -41,7 +41,7 @@
     """Returns the JSON object in the body.
 
     Raises:
-        RequestInvalid: The body is no JSON object.
+        RequestInvalid: The body is not a JSON object.
     """
     try:
         document = orjson.loads(body)
@@ -53,48 +53,58 @@
 
 
 def read_name(document: dict[str, Any], key: str) -> str | None:
-    """Returns a short text field, None if it is absent or null."""
+    """Returns the value of a short string field, None if absent or null.
+
+    Raises:
+        RequestInvalid: The value is not a string, empty or too long.
+    """
     value = document.get(key)
     if value is None:
         return None
     if not isinstance(value, str) or not value:
-        raise errors.RequestInvalid(f'`{key}` must be a text')
+        raise errors.RequestInvalid(f'`{key}` must be a non-empty string')
     if len(value) > MAX_NAME_BYTES:
         raise errors.RequestInvalid(f'`{key}` is too long')
     return value
 
 
 def read_messages(document: dict[str, Any]) -> list[dict[str, Any]]:
-    """Returns the messages."""
+    """Returns the messages of a chat request.
+
+    Raises:
+        RequestInvalid: They are missing, too many or malformed.
+    """
     messages = document.get('messages')
     if not isinstance(messages, list) or not messages:
-        raise errors.RequestInvalid('`messages` must be a list with members')
+        raise errors.RequestInvalid('`messages` must be a non-empty list')
     if len(messages) > MAX_MESSAGES:
-        raise errors.RequestInvalid('`messages` has too many members')
-    for item in messages:
-        if not isinstance(item, dict) or not isinstance(item.get('role'), str):
+        raise errors.RequestInvalid('`messages` has too many entries')
+    for message in messages:
+        if not isinstance(message, dict) or not isinstance(
+            message.get('role'), str
+        ):
             raise errors.RequestInvalid('each message must have a `role`')
     return messages
 
 
-def read_beginning(messages: list[dict[str, Any]]) -> bytes:
-    """Returns the messages up to and with the first one of the user.
+def read_prefix(messages: list[dict[str, Any]]) -> bytes:
+    """Returns the messages up to and including the first user message.
 
-    A later turn appends messages, so that this part never changes.
+    Later turns only append messages, so this prefix does not change.
     """
     count = 0
-    for item in messages:
+    for message in messages:
         count += 1
-        if item['role'] == 'user':
+        if message['role'] == 'user':
             break
     return orjson.dumps(messages[:count], option=orjson.OPT_SORT_KEYS)
 
 
 def parse(body: bytes) -> ChatRequest:
-    """Returns what a router needs to know of a chat request.
+    """Returns the fields of a chat request that a router uses.
 
     Raises:
-        RequestInvalid: The body is no chat request.
+        RequestInvalid: The body is not a chat request.
     """
     document = load_object(body)
     model = read_name(document, 'model')
@@ -105,27 +115,34 @@
         raise errors.RequestInvalid('`stream` must be true or false')
     messages = read_messages(document)
     cache_key = read_name(document, 'prompt_cache_key')
-    # the beginning is only looked at when the caller gives no key
-    beginning = b'' if cache_key is not None else read_beginning(messages)
+    # The prefix is used only if the caller gives no key.
+    prefix = b'' if cache_key is not None else read_prefix(messages)
     return ChatRequest(
         model=model,
         adapter=read_name(document, 'adapter'),
         stream=stream,
         cache_key=cache_key,
-        beginning=beginning,
+        prefix=prefix,
         prompt_tokens=len(body) // BYTES_PER_TOKEN,
     )
 
 
-def work_of(body: bytes) -> bytes:
-    """Returns what the engine works on, the same for equal work."""
+def canonical_input(body: bytes) -> bytes:
+    """Returns the engine's input in canonical form.
+
+    Requests that differ only in their JSON formatting or in fields other than
+    model, adapter and messages have the same canonical input.
+
+    Raises:
+        RequestInvalid: The body is not a JSON object.
+    """
     document = load_object(body)
-    work = [document.get(key) for key in ('model', 'adapter', 'messages')]
-    return orjson.dumps(work, option=orjson.OPT_SORT_KEYS)
+    values = [document.get(key) for key in ('model', 'adapter', 'messages')]
+    return orjson.dumps(values, option=orjson.OPT_SORT_KEYS)
 
 
 def rewrite(body: bytes, model: str | None, adapter: str | None) -> bytes:
-    """Returns the body with model and adapter replaced where given."""
+    """Returns the body with model and adapter replaced, unless None."""
     document = load_object(body)
     if model is not None:
         document['model'] = model
@@ -136,27 +153,27 @@
 
 @attrs.define
 class Chunk:
-    """What a router reads from one event of a streamed answer.
+    """Fields of one event of a streamed answer that a router uses.
 
     Attributes:
         id: Id of the answer, the same in each of its events.
-        text: Text that the event adds.
-        plain: Whether the event says nothing that its text does not, so
-            that the same text in other events is the same answer.
-        final: Whether the event gives a finish reason.
+        text: Text that the event appends to the answer.
+        text_only: Whether the event carries nothing but its text, so that
+            other events with the same text are the same answer.
+        final: Whether the event has a finish reason.
     """
 
     id: str
     text: str
-    plain: bool
+    text_only: bool
     final: bool = False
 
 
 def read_chunk(data: bytes) -> Chunk:
-    """Returns what matters of the data of one event.
+    """Returns the chunk in the data of one event.
 
     Raises:
-        UpstreamBroke: The data is no chunk of a chat answer.
+        UpstreamBroke: The data is not a chunk of a chat answer.
     """
     try:
         document = orjson.loads(data)
@@ -170,18 +187,24 @@
         final = choice.get('finish_reason') is not None
     except (ValueError, TypeError, LookupError, AttributeError) as exc:
         raise errors.UpstreamBroke(
-            'an event of the answer is no chunk of a chat answer'
+            'an event of the answer is not a chunk of a chat answer'
         ) from exc
     if not isinstance(answer_id, str) or not isinstance(text, str):
-        raise errors.UpstreamBroke('a chunk of the answer has a wrong type')
-    plain = len(choices) == 1 and not delta.get('tool_calls')
-    return Chunk(answer_id, text, plain, final)
+        raise errors.UpstreamBroke(
+            'a field in a chunk of the answer has the wrong type'
+        )
+    text_only = len(choices) == 1 and not delta.get('tool_calls')
+    return Chunk(answer_id, text, text_only, final)
 
 
 def continue_chunk(data: bytes, answer_id: str | None, count: int) -> bytes:
-    """Returns an event of another run as part of the answer so far.
+    """Returns the data of another run's event, adapted to an earlier answer.
 
-    It gets the id of that answer and loses its first `count` characters.
+    Args:
+        data: Data of the event.
+        answer_id: Id of the earlier answer, which replaces the event's id.
+        count: Number of characters to remove from the start of the text,
+            because the caller already has them.
     """
     document = orjson.loads(data)
     document['id'] = answer_id
@@ -191,24 +214,24 @@
     return orjson.dumps(document)
 
 
-def check_whole(body: bytes, named_by: str) -> None:
-    """Checks that a body is a whole chat answer.
+def check_complete(body: bytes, expected_id: str) -> None:
+    """Checks that a body is a complete chat answer to the request.
 
     Args:
         body: The body.
-        named_by: Text that the id of the answer must hold.
+        expected_id: Text that the id of the answer must contain.
 
     Raises:
-        UpstreamBroke: It is no chat answer.
-        AnswerMismatch: It is the answer to another request.
+        UpstreamBroke: The body is not a chat answer.
+        AnswerMismatch: The answer belongs to another request.
     """
     try:
         document = orjson.loads(body)
-        whole = bool(document['choices'])
-        named = named_by in document['id']
+        has_choices = bool(document['choices'])
+        id_matches = expected_id in document['id']
     except (ValueError, TypeError, LookupError) as exc:
-        raise errors.UpstreamBroke('the answer is no chat answer') from exc
-    if not whole:
+        raise errors.UpstreamBroke('the answer is not a chat answer') from exc
+    if not has_choices:
         raise errors.UpstreamBroke('the answer has no choices')
-    if not named:
-        raise errors.AnswerMismatch('the answer is to another request')
+    if not id_matches:
+        raise errors.AnswerMismatch('the answer belongs to another request')
--- a/lavenderbend/protocol/peer.py
+++ b/lavenderbend/protocol/peer.py
@@ -1,4 +1,4 @@
-"""Messages between routers and the codec that carries them."""
+"""Base class, registry and codec of the messages between routers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Message:
-    """Base of the messages; subclasses are attrs classes with a tag.
+    """Base class of messages; subclasses are attrs classes with a tag.
 
     Fields are None, bool, int, float, str, bytes, and lists of those.
     """
@@ -35,14 +35,14 @@
     """Returns a decorator that registers a message class under a tag.
 
     Raises:
-        RegistrationError: The tag is taken.
+        RegistrationError: The tag is already registered.
     """
 
     def decorate(cls: C) -> C:
         if tag in MESSAGES:
             raise errors.RegistrationError(
-                f'message tag {tag} is {MESSAGES[tag].__name__} '
-                f'and again {cls.__name__}'
+                f'message tag {tag} is registered for '
+                f'{MESSAGES[tag].__name__} and {cls.__name__}'
             )
         cls.tag = tag
         MESSAGES[tag] = cls
@@ -51,24 +51,28 @@
     return decorate
 
 
-def to_wire(item: Message) -> list[Any]:
+def to_wire(message: Message) -> list[Any]:
     """Returns the message as a list: its tag, then its fields in order."""
-    values = [getattr(item, field.name) for field in attrs.fields(type(item))]
-    return [item.tag, *values]
+    values = [
+        getattr(message, field.name) for field in attrs.fields(type(message))
+    ]
+    return [message.tag, *values]
 
 
 def from_wire(values: Any) -> Message:
     """Returns the message of a list made by `to_wire`.
 
-    Fields that a newer peer added at the end are left out, fields that an
-    older peer lacks take their defaults, so that routers of two versions
-    can talk during a rolling restart.
+    Fields that a newer peer appended are ignored, and fields that an older
+    peer lacks take their defaults, so that routers of two versions can
+    communicate during a rolling restart.
 
     Raises:
-        CodecError: The list is no message of ours.
+        CodecError: The list is not a registered message.
     """
     if not isinstance(values, list) or not values:
-        raise errors.CodecError('a message is a list that begins with a tag')
+        raise errors.CodecError(
+            'a message must be a list that begins with a tag'
+        )
     if not isinstance(values[0], int) or values[0] not in MESSAGES:
         raise errors.CodecError(f'no message has the tag {values[0]!r}')
     cls = MESSAGES[values[0]]
@@ -79,16 +83,16 @@
         raise errors.CodecError(f'{cls.__name__}: {exc}') from exc
 
 
-def encode(item: Message) -> bytes:
+def encode(message: Message) -> bytes:
     """Returns the message as msgpack bytes."""
-    return msgpack.packb(to_wire(item))
+    return msgpack.packb(to_wire(message))
 
 
 def decode(data: bytes) -> Message:
     """Returns the message of bytes made by `encode`.
 
     Raises:
-        CodecError: The bytes are no message of ours.
+        CodecError: The bytes are not a registered message.
     """
     try:
         values = msgpack.unpackb(data)
@@ -100,12 +104,12 @@
 @message(1)
 @attrs.frozen
 class Failure(Message):
-    """The answer to a request that was refused.
+    """Reply to a request that failed.
 
     Attributes:
-        kind: Name of the error type.
-        detail: Its text.
-        retry_after: Seconds, or None.
+        kind: Name of the error class.
+        detail: Text of the error.
+        retry_after: Seconds after which to retry, or None.
     """
 
     kind: str
@@ -116,4 +120,4 @@
 @message(2)
 @attrs.frozen
 class Done(Message):
-    """The answer to a request that has nothing to return."""
+    """Reply to a request that succeeded and has no result."""
--- a/lavenderbend/protocol/problems.py
+++ b/lavenderbend/protocol/problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) and the error event inside a stream."""
+"""Errors as problem details (RFC 9457) and as events in a stream."""
 
 from __future__ import annotations
 
@@ -35,12 +35,15 @@
 
 
 def to_body(error: errors.RequestError, request_id: str) -> bytes:
-    """Returns the problem details of an error as a body."""
+    """Returns the problem details of an error as a response body."""
     return orjson.dumps(to_document(error, request_id))
 
 
 def to_headers(error: errors.RequestError, request_id: str) -> dict[str, str]:
-    """Returns the headers of the answer that tells of an error."""
+    """Returns the headers of an error response.
+
+    `retry-after` is rounded up to whole seconds, and is at least 1.
+    """
     headers = {
         'content-type': CONTENT_TYPE,
         'x-request-id': request_id,
@@ -52,7 +55,7 @@
 
 
 def to_event(error: errors.RequestError, request_id: str) -> bytes:
-    """Returns the event that tells of an error inside a stream."""
-    # clients of the API look for an `error` object in the data
+    """Returns the event that reports an error within a stream."""
+    # Clients of the API expect an `error` object in the data.
     document = {'error': to_document(error, request_id)}
     return sse.encode(orjson.dumps(document), EVENT_NAME)
--- a/lavenderbend/protocol/records_claims.py
+++ b/lavenderbend/protocol/records_claims.py
@@ -1,4 +1,4 @@
-"""Batches of claims, as bytes."""
+"""Encoding of batches of claims and outcomes."""
 
 from __future__ import annotations
 
@@ -14,9 +14,12 @@
 
 
 def encode(batch: claims.Batch) -> bytes:
-    """Returns a batch as bytes; hashes lie side by side without frames."""
+    """Returns a batch as bytes.
+
+    Hashes have fixed sizes and are concatenated without framing.
+    """
     names = sorted({line.entry for line in batch.claims})
-    places = {name: index for index, name in enumerate(names)}
+    indices = {name: index for index, name in enumerate(names)}
     lines = batch.claims
     outcomes = batch.outcomes
     return msgpack.packb(
@@ -25,7 +28,7 @@
             batch.at,
             names,
             b''.join(line.key + line.token + line.digest for line in lines),
-            [places[line.entry] for line in lines],
+            [indices[line.entry] for line in lines],
             b''.join(line.key + line.token for line in outcomes),
             [OUTCOMES.index(line.outcome) for line in outcomes],
             [line.status for line in outcomes],
@@ -37,49 +40,58 @@
     """Returns the batch of bytes made by `encode`.
 
     Raises:
-        CodecError: The bytes are no batch.
+        CodecError: The bytes are not a batch.
     """
     try:
-        id_, at, names, blob, places, said, codes, statuses = msgpack.unpackb(
-            data
-        )
+        (
+            id_,
+            at,
+            names,
+            claim_hashes,
+            name_indices,
+            outcome_hashes,
+            codes,
+            statuses,
+        ) = msgpack.unpackb(data)
         return claims.Batch(
             id_,
             at,
             tuple(
-                claim_line(blob, index, names[place])
-                for index, place in enumerate(places)
+                claim_line(claim_hashes, index, names[name_index])
+                for index, name_index in enumerate(name_indices)
             ),
             tuple(
-                outcome_line(said, index, OUTCOMES[code], statuses[index])
+                outcome_line(
+                    outcome_hashes, index, OUTCOMES[code], statuses[index]
+                )
                 for index, code in enumerate(codes)
             ),
         )
     except (ValueError, TypeError, IndexError) as exc:
-        raise errors.CodecError(f'no batch of claims: {exc!r}') from exc
+        raise errors.CodecError(f'not a batch of claims: {exc!r}') from exc
 
 
-def claim_line(blob: bytes, index: int, entry: str) -> claims.ClaimLine:
-    """Returns the claim at a place of the hashes."""
+def claim_line(hashes: bytes, index: int, entry: str) -> claims.ClaimLine:
+    """Returns the claim at an index of the concatenated hashes."""
     start = index * CLAIM_BYTES
-    text = blob[start : start + CLAIM_BYTES]
+    record = hashes[start : start + CLAIM_BYTES]
     return claims.ClaimLine(
-        text[: claims.KEY_BYTES],
-        text[claims.KEY_BYTES : TOKEN_END],
-        text[TOKEN_END:],
+        record[: claims.KEY_BYTES],
+        record[claims.KEY_BYTES : TOKEN_END],
+        record[TOKEN_END:],
         entry,
     )
 
 
 def outcome_line(
-    blob: bytes, index: int, outcome: errors.Outcome, status: int | None
+    hashes: bytes, index: int, outcome: errors.Outcome, status: int | None
 ) -> claims.OutcomeLine:
-    """Returns the outcome at a place of the hashes."""
+    """Returns the outcome at an index of the concatenated hashes."""
     start = index * OUTCOME_BYTES
-    text = blob[start : start + OUTCOME_BYTES]
+    record = hashes[start : start + OUTCOME_BYTES]
     return claims.OutcomeLine(
-        text[: claims.KEY_BYTES],
-        text[claims.KEY_BYTES :],
+        record[: claims.KEY_BYTES],
+        record[claims.KEY_BYTES :],
         outcome,
         status,
     )
--- a/lavenderbend/protocol/records_configuration.py
+++ b/lavenderbend/protocol/records_configuration.py
@@ -1,4 +1,4 @@
-"""Accepted changes and whole revisions, as bytes."""
+"""Encoding of configuration changes and of whole revisions."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 @attrs.frozen
 class Record:
-    """One accepted change.
+    """One accepted change, as it is stored in the log.
 
     Attributes:
-        id: Unlike that of any other change.
-        author: Who had it accepted.
-        reason: Why.
-        accepted_at: Seconds since the epoch, by the acceptor's clock.
+        id: Unique id of the change.
+        author: Author that the operator gave.
+        reason: Reason that the operator gave.
+        accepted_at: Seconds since the epoch, by the clock of the router that
+            accepted the change.
         digest: Digest of the document after the change.
-        splices: The change.
+        splices: The edits to the document.
     """
 
     id: bytes
@@ -38,15 +39,16 @@
 
 
 @attrs.frozen
-class Known:
+class StoredRevision:
     """A revision with its document.
 
     Attributes:
-        number: Its number, 0 before anything is accepted.
+        number: Number of the revision, 0 before the first accepted change.
         document: The document.
-        author: Who had it accepted.
-        reason: Why.
-        accepted_at: Seconds since the epoch, by the acceptor's clock.
+        author: Author of the last change.
+        reason: Reason for the last change.
+        accepted_at: Seconds since the epoch, by the clock of the router that
+            accepted the last change.
     """
 
     number: int
@@ -56,11 +58,11 @@
     accepted_at: float = 0.0
 
 
-NOTHING = Known(0, documents.EMPTY)
+EMPTY_REVISION = StoredRevision(0, documents.EMPTY)
 
 
 def compress(data: bytes) -> bytes:
-    """Returns the bytes, compressed if that is worth while."""
+    """Returns the bytes, compressed from `COMPRESS_BYTES` on."""
     if len(data) < COMPRESS_BYTES:
         return PLAIN + data
     return COMPRESSED + zlib.compress(data, 6)
@@ -70,17 +72,17 @@
     """Returns the bytes given to `compress`.
 
     Raises:
-        CodecError: They were not made by it.
+        CodecError: The bytes were not made by `compress`.
     """
     kind, rest = data[:1], data[1:]
     if kind == PLAIN:
         return rest
     if kind != COMPRESSED:
-        raise errors.CodecError(f'no record begins with {kind!r}')
+        raise errors.CodecError(f'not a record: begins with {kind!r}')
     try:
         return zlib.decompress(rest)
     except zlib.error as exc:
-        raise errors.CodecError(f'no record: {exc}') from exc
+        raise errors.CodecError(f'not a record: {exc}') from exc
 
 
 def encode(record: Record) -> bytes:
@@ -92,7 +94,7 @@
     """Returns the change of bytes made by `encode`.
 
     Raises:
-        CodecError: The bytes are no change.
+        CodecError: The bytes are not a change.
     """
     try:
         *fields, splices = msgpack.unpackb(decompress(data))
@@ -104,22 +106,22 @@
             ),
         )
     except (ValueError, TypeError) as exc:
-        raise errors.CodecError(f'no change: {exc!r}') from exc
+        raise errors.CodecError(f'not a change: {exc!r}') from exc
 
 
-def advance(known: Known, record: Record) -> Known:
-    """Returns the revision after a change.
+def advance(revision: StoredRevision, record: Record) -> StoredRevision:
+    """Returns the revision that results from a change.
 
     Raises:
-        CodecError: The change does not lead to its digest from there.
+        CodecError: The resulting document does not have the change's digest.
     """
-    document = documents.apply(known.document, record.splices)
+    document = documents.apply(revision.document, record.splices)
     if document.digest != record.digest:
         raise errors.CodecError(
-            f'change {known.number + 1} does not lead to its digest'
+            f'change {revision.number + 1} does not produce its digest'
         )
-    return Known(
-        known.number + 1,
+    return StoredRevision(
+        revision.number + 1,
         document,
         record.author,
         record.reason,
@@ -127,43 +129,43 @@
     )
 
 
-def encode_known(known: Known) -> bytes:
+def encode_revision(revision: StoredRevision) -> bytes:
     """Returns a whole revision as bytes."""
     return msgpack.packb(
         [
-            known.number,
-            documents.pack(known.document),
-            known.document.digest,
-            known.author,
-            known.reason,
-            known.accepted_at,
+            revision.number,
+            documents.pack(revision.document),
+            revision.document.digest,
+            revision.author,
+            revision.reason,
+            revision.accepted_at,
         ]
     )
 
 
-def decode_known(data: bytes) -> Known:
-    """Returns the revision of bytes made by `encode_known`.
+def decode_revision(data: bytes) -> StoredRevision:
+    """Returns the revision of bytes made by `encode_revision`.
 
     Raises:
-        CodecError: The bytes are no revision.
+        CodecError: The bytes are not a revision.
     """
     try:
         number, packed, digest, *rest = msgpack.unpackb(data)
-        known = Known(number, documents.unpack(packed), *rest)
+        revision = StoredRevision(number, documents.unpack(packed), *rest)
     except (ValueError, TypeError) as exc:
-        raise errors.CodecError(f'no revision: {exc!r}') from exc
-    if known.document.digest != digest:
-        raise errors.CodecError(f'revision {number} has another digest')
-    return known
+        raise errors.CodecError(f'not a revision: {exc!r}') from exc
+    if revision.document.digest != digest:
+        raise errors.CodecError(f'revision {number} does not have its digest')
+    return revision
 
 
-def to_revision(known: Known) -> configuration.Revision:
-    """Returns the form that the rest of the router uses."""
+def to_revision(revision: StoredRevision) -> configuration.Revision:
+    """Returns a revision in the form that the rest of the router uses."""
     return configuration.Revision(
-        number=known.number,
-        digest=known.document.digest,
-        document=documents.to_configuration(known.document),
-        author=known.author,
-        reason=known.reason,
-        accepted_at=known.accepted_at,
+        number=revision.number,
+        digest=revision.document.digest,
+        document=documents.to_configuration(revision.document),
+        author=revision.author,
+        reason=revision.reason,
+        accepted_at=revision.accepted_at,
     )
--- a/lavenderbend/protocol/sse.py
+++ b/lavenderbend/protocol/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events, read as they arrive."""
+"""Incremental parser and encoder of server-sent events."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     """One event.
 
     Attributes:
-        raw: The bytes as they came, with the empty line at the end.
-        data: The data lines, joined by newlines.
-        name: Type of the event, empty for the default.
+        raw: The bytes of the event, with the empty line at the end.
+        data: Contents of the data lines, joined by newlines.
+        name: Type of the event, empty for the default type.
         offset: Number in the `id` line, None if there is none.
     """
 
@@ -37,7 +37,7 @@
 
     @property
     def done(self) -> bool:
-        """Whether this is the terminator of a chat answer."""
+        """Whether the event is the terminator of a chat answer."""
         return self.data == DONE
 
 
@@ -45,9 +45,9 @@
     """Returns the event of one block of lines.
 
     Raises:
-        UpstreamBroke: The block is no event.
+        UpstreamBroke: The block is not an event.
     """
-    # the usual event is one data line, with or without a number before it
+    # Fast path: most events are one data line, with or without an id before.
     start = 0
     offset = None
     if raw.startswith(ID_FIELD):
@@ -60,7 +60,11 @@
 
 
 def parse_lines(raw: bytes) -> Event:
-    """Returns the event of any block of lines."""
+    """Returns the event of any block of lines.
+
+    Raises:
+        UpstreamBroke: The block is not an event.
+    """
     lines: list[bytes] = []
     name = b''
     offset = None
@@ -74,23 +78,25 @@
         elif field == b'id':
             offset = read_offset(value)
         elif field not in (b'', b'retry'):
-            raise errors.UpstreamBroke('the answer has a line of no event')
+            raise errors.UpstreamBroke(
+                'the answer has a line that is not part of an event'
+            )
     return Event(raw, b'\n'.join(lines), name, offset)
 
 
 def read_offset(value: bytes) -> int | None:
-    """Returns the number of an `id` line, None if it is no number."""
+    """Returns the number in an `id` line, None if it is not a number."""
     if len(value) > 18 or not value.isdigit():
         return None
     return int(value)
 
 
 class Parser:
-    """Cuts a stream of bytes into events.
+    """Splits a stream of bytes into events.
 
     Attributes:
-        max_bytes: Size of the largest event that is accepted.
-        rest: Bytes of an event that is not complete yet.
+        max_bytes: Maximum size of an event.
+        rest: Received bytes of the event that is not yet complete.
     """
 
     def __init__(self, max_bytes: int) -> None:
@@ -98,22 +104,22 @@
         self.rest = b''
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        """Yields the events that are complete with these bytes.
+        """Yields the events that these bytes complete.
 
         Raises:
-            UpstreamBroke: An event is too large or is none.
+            UpstreamBroke: An event is too large or malformed.
         """
         for block in self.split(data):
             yield parse_event(block)
         self.check_size()
 
     def split(self, data: bytes) -> list[bytes]:
-        """Returns the blocks that are complete with these bytes."""
+        """Returns the blocks of lines that these bytes complete."""
         buffer = self.rest + data if self.rest else data
         if b'\r' in buffer:
             buffer = self.normalise(buffer)
         end = buffer.find(END)
-        # the usual read is one whole event
+        # Fast path: most reads are exactly one event.
         if end == len(buffer) - len(END) and end > 0:
             self.rest = b''
             return [buffer]
@@ -129,24 +135,24 @@
         return blocks
 
     def check_size(self) -> None:
-        """Checks that what is held of an event is not too much.
+        """Checks the size of the incomplete event.
 
         Raises:
-            UpstreamBroke: It is.
+            UpstreamBroke: It exceeds `max_bytes`.
         """
         if len(self.rest) > self.max_bytes:
             raise errors.UpstreamBroke('an event of the answer is too large')
 
     def normalise(self, buffer: bytes) -> bytes:
-        """Returns the bytes with line ends as single newlines."""
-        # a carriage return at the end may be the first half of a line end
-        held = b'\r' if buffer.endswith(b'\r') else b''
-        text = buffer[: len(buffer) - len(held)]
-        return text.replace(b'\r\n', b'\n').replace(b'\r', b'\n') + held
+        """Returns the bytes with each line ending replaced by a newline."""
+        # A carriage return at the end may be the first half of a CR LF.
+        pending = b'\r' if buffer.endswith(b'\r') else b''
+        text = buffer[: len(buffer) - len(pending)]
+        return text.replace(b'\r\n', b'\n').replace(b'\r', b'\n') + pending
 
 
 def encode(data: bytes, name: str = '', offset: int | None = None) -> bytes:
-    """Returns one event; the data has no newline."""
+    """Returns the bytes of one event; the data must not have a newline."""
     parts = []
     if name:
         parts.append(b'event: ' + name.encode() + b'\n')
--- a/lavenderbend/protocol/structuring.py
+++ b/lavenderbend/protocol/structuring.py
@@ -1,4 +1,4 @@
-"""Plain values into attrs classes, strictly, by cattrs."""
+"""Strict conversion of plain values into attrs classes, by cattrs."""
 
 from __future__ import annotations
 
@@ -26,56 +26,64 @@
 
 
 def text(value: Any, _: Any) -> str:
-    """Returns a text."""
+    """Returns a string; a structure hook."""
     if not isinstance(value, str):
         raise units.Fault(
-            f'{units.shown(value)} is no text', 'a text (quote numbers)'
+            f'{units.describe(value)} is not a text', 'a text (quote numbers)'
         )
     return value
 
 
 def integer(value: Any, _: Any) -> int:
-    """Returns a whole number."""
+    """Returns an integer; a structure hook."""
     if type(value) is not int:
         raise units.Fault(
-            f'{units.shown(value)} is no whole number', 'a whole number'
+            f'{units.describe(value)} is not a whole number', 'a whole number'
         )
     return value
 
 
 def number(value: Any, _: Any) -> float:
-    """Returns a number."""
+    """Returns a float; a structure hook."""
     if type(value) not in (int, float):
-        raise units.Fault(f'{units.shown(value)} is no number', 'a number')
+        raise units.Fault(
+            f'{units.describe(value)} is not a number', 'a number'
+        )
     return float(value)
 
 
 def boolean(value: Any, _: Any) -> bool:
-    """Returns true or false."""
+    """Returns a boolean; a structure hook."""
     if not isinstance(value, bool):
-        raise units.Fault(f'{units.shown(value)} is neither', 'true or false')
+        raise units.Fault(
+            f'{units.describe(value)} is not a boolean', 'true or false'
+        )
     return value
 
 
 def enum_key(member: enum.Enum) -> str:
-    """Returns how a member is written: a text value, else its name."""
+    """Returns the text for an enum member: its value if a string, or its name.
+
+    Names are in lower case.
+    """
     if isinstance(member.value, str):
         return member.value
     return member.name.lower()
 
 
 def member_of(value: Any, cls: type[enum.Enum]) -> enum.Enum:
-    """Returns the member of an enum class."""
+    """Returns the member of an enum class; a structure hook."""
     members = {enum_key(member): member for member in cls}
     if not isinstance(value, str) or value not in members:
         raise units.Fault(
-            f'{units.shown(value)} is none of them', ' | '.join(sorted(members))
+            f'{units.describe(value)} is not allowed',
+            ' | '.join(sorted(members)),
         )
     return members[value]
 
 
-# fields whose unit is not in their type, and the bounds of those of the
-# configuration; those of the settings are in their own metadata
+# Hooks for fields whose type does not define their unit, and bounds of the
+# fields of the configuration. Bounds of settings are in their field metadata.
 FIELD_HOOKS: dict[tuple[type, str], Hook] = {
     (configuration.When, 'share'): units.share,
     (configuration.Then, 'timeout'): units.duration,
@@ -111,13 +119,13 @@
 
 
 def in_bounds(inner: Hook, bounds: settings.Bounds) -> Hook:
-    """Returns the hook with a check of its result."""
+    """Returns a hook that checks that the result of another is in bounds."""
 
     def hook(value: Any, cls: Any) -> Any:
         result = inner(value, cls)
         if not bounds.holds(result):
             raise units.Fault(
-                f'{units.shown(value)} is impossible', str(bounds)
+                f'{units.describe(value)} is out of range', str(bounds)
             )
         return result
 
@@ -125,7 +133,10 @@
 
 
 class StrictConverter(cattrs.Converter):
-    """Takes nothing but what the classes say, and collects all faults."""
+    """Converter that accepts no implicit conversions or unknown keys.
+
+    Reports all errors of a document together.
+    """
 
     def __init__(self) -> None:
         super().__init__(detailed_validation=True, forbid_extra_keys=True)
@@ -133,7 +144,7 @@
         self.register_structure_hook(int, integer)
         self.register_structure_hook(float, number)
         self.register_structure_hook(bool, boolean)
-        # an IntEnum would be read as an int before it is seen as an enum
+        # Without its own hook, an IntEnum would be structured as an int.
         self.register_structure_hook(requests.Priority, member_of)
         self.register_structure_hook(settings.Seconds, units.duration)
         self.register_structure_hook(settings.ByteCount, units.size)
@@ -147,13 +158,15 @@
         self.register_unstructure_hook_factory(attrs.has, self.class_writer)
 
     def tuple_hook(self, cls: Any) -> Hook:
-        """Returns the hook of `tuple[T, ...]`, which takes only lists."""
+        """Returns the hook of `tuple[T, ...]`, which accepts only lists."""
         member = get_args(cls)[0]
 
         def hook(value: Any, _: Any) -> Any:
-            # a text would otherwise become one entry for each letter
+            # A string would otherwise become one entry for each character.
             if not isinstance(value, list):
-                raise units.Fault(f'{units.shown(value)} is no list', 'a list')
+                raise units.Fault(
+                    f'{units.describe(value)} is no list', 'a list'
+                )
             return tuple(self.structure(value, list[member]))
 
         return hook
@@ -164,7 +177,7 @@
 
         def hook(value: Any, _: Any) -> Any:
             if not isinstance(value, dict):
-                raise units.Fault(f'{units.shown(value)} is no map', 'a map')
+                raise units.Fault(f'{units.describe(value)} is no map', 'a map')
             return inner(value, cls)
 
         return hook
@@ -183,14 +196,14 @@
         def hook(value: Any, _: Any) -> Any:
             if not isinstance(value, dict):
                 raise units.Fault(
-                    f'{units.shown(value)} is no map', f'keys: {names}'
+                    f'{units.describe(value)} is no map', f'keys: {names}'
                 )
             return inner(value, cls)
 
         return hook
 
     def field_hook(self, cls: type, field: attrs.Attribute) -> Hook:
-        """Returns the hook of one field, with its unit and bounds."""
+        """Returns the hook of one field, which applies its unit and bounds."""
         inner = FIELD_HOOKS.get((cls, field.name))
         if inner is None:
             inner = self.get_structure_hook(field.type)
@@ -200,11 +213,11 @@
         return inner if bounds is None else in_bounds(inner, bounds)
 
     def list_writer(self, cls: Any) -> Writer:
-        """Returns the writer of `tuple[T, ...]`."""
+        """Returns the unstructure hook of `tuple[T, ...]`."""
         return lambda value: [self.unstructure(member) for member in value]
 
     def class_writer(self, cls: type) -> Writer:
-        """Returns the writer of an attrs class, which omits defaults."""
+        """Returns the unstructure hook of an attrs class; it omits defaults."""
         writers = {
             field.name: gen.override(
                 unstruct_hook=FIELD_WRITERS.get((cls, field.name))
--- a/lavenderbend/protocol/units.py
+++ b/lavenderbend/protocol/units.py
@@ -1,4 +1,4 @@
-"""Numbers with units, read and written."""
+"""Parsing and formatting of numbers with units."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class Fault(ValueError):
-    """A value that may not stand where it stands.
+    """An invalid value.
 
     Attributes:
-        fault: What is wrong.
-        allowed: What may stand there.
+        fault: What is wrong with the value.
+        allowed: Description of valid values.
     """
 
     def __init__(self, fault: str, allowed: str) -> None:
@@ -32,8 +32,8 @@
         self.allowed = allowed
 
 
-def shown(value: Any) -> str:
-    """Returns a value as an error message shows it."""
+def describe(value: Any) -> str:
+    """Returns a short text for a value, for error messages."""
     kinds = {dict: 'a map', list: 'a list', type(None): 'nothing'}
     if type(value) in kinds:
         return kinds[type(value)]
@@ -43,54 +43,63 @@
 
 
 def quantity(value: Any, units: dict[str, float], allowed: str) -> float:
-    """Returns a number with a unit, in the base unit."""
-    found = QUANTITY.fullmatch(value) if isinstance(value, str) else None
-    if found is None:
-        raise Fault(f'{shown(value)} is no number with a unit', allowed)
-    if found[2] not in units:
-        raise Fault(f'unknown unit {found[2]!r}', allowed)
-    return float(found[1]) * units[found[2]]
+    """Returns the number of a text such as `500ms`, in the base unit.
+
+    Args:
+        value: The text.
+        units: Factor to the base unit, by name of unit.
+        allowed: Description of valid values, for the error.
+
+    Raises:
+        Fault: The value is not a number with one of the units.
+    """
+    match = QUANTITY.fullmatch(value) if isinstance(value, str) else None
+    if match is None:
+        raise Fault(f'{describe(value)} is not a number with a unit', allowed)
+    if match[2] not in units:
+        raise Fault(f'unknown unit {match[2]!r}', allowed)
+    return float(match[1]) * units[match[2]]
 
 
 def duration(value: Any, _: Any) -> float:
-    """Returns seconds."""
+    """Parses a duration into seconds; a structure hook."""
     return quantity(value, DURATION_UNITS, DURATION)
 
 
 def size(value: Any, _: Any) -> int:
-    """Returns bytes."""
+    """Parses a size into bytes; a structure hook."""
     return int(quantity(value, SIZE_UNITS, SIZE))
 
 
 def rate(value: Any, _: Any) -> float:
-    """Returns events a second."""
+    """Parses a rate into events per second; a structure hook."""
     return quantity(value, RATE_UNITS, RATE)
 
 
 def share(value: Any, _: Any) -> float:
-    """Returns a percentage."""
+    """Parses a share into per cent; a structure hook."""
     return quantity(value, SHARE_UNITS, SHARE)
 
 
 def decimal_text(value: float) -> str:
-    """Returns all digits of a number, without an exponent."""
+    """Formats a number in full, without an exponent."""
     return f'{decimal.Decimal(repr(value)):f}'.removesuffix('.0')
 
 
 def write_duration(value: float) -> str:
-    """Returns a duration in seconds, or in milliseconds if it is short."""
+    """Formats a duration in seconds, or in milliseconds if below 1 s."""
     count = round(value * 1000)
-    # only if reading it again gives the same number to the last bit
+    # Milliseconds are used only if parsing them returns exactly this value.
     if value < 1 and count * DURATION_UNITS['ms'] == value:
         return f'{count}ms'
     return f'{decimal_text(value)}s'
 
 
 def write_rate(value: float) -> str:
-    """Returns a rate a second."""
+    """Formats a rate per second."""
     return f'{decimal_text(value)}/s'
 
 
 def write_share(value: float) -> str:
-    """Returns a percentage."""
+    """Formats a percentage."""
     return f'{decimal_text(value)}%'
--- a/lavenderbend/protocol/yaml_nodes.py
+++ b/lavenderbend/protocol/yaml_nodes.py
@@ -1,4 +1,4 @@
-"""YAML text into plain values that remember their lines."""
+"""Strict YAML parser that records the line of each value."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 MAX_TEXT_BYTES = 1024 * 1024
 MAX_DEPTH = 16
-# the loader of libyaml, ten times as fast, where PyYAML has it
+# The libyaml loader, if PyYAML was built with it, is ten times as fast.
 LOADER = getattr(yaml, 'CSafeLoader', yaml.SafeLoader)
-# nineteen digits could pass the 64 bits of the peers' codec
+# Numbers of 19 digits could exceed the 64 bits of the codec between peers.
 MAX_DIGITS = 18
 
 INTEGER = re.compile(r'[-+]?(0|[1-9][0-9]*)')
@@ -35,8 +35,8 @@
 
     Attributes:
         name: Name of the file.
-        value: Maps, lists, texts, numbers, booleans and None.
-        lines: Line, counted from 1, of each key and list member.
+        value: Dicts, lists, strings, numbers, booleans and None.
+        lines: Line number, from 1, of each key and list entry, by path.
     """
 
     name: str
@@ -44,7 +44,7 @@
     lines: dict[Path, int]
 
     def line(self, path: Path) -> int:
-        """Returns the line of the path, or of its nearest known parent."""
+        """Returns the line of a path, or of its nearest recorded parent."""
         while path and path not in self.lines:
             path = path[:-1]
         return self.lines.get(path, 1)
@@ -52,14 +52,20 @@
     def fault(
         self, path: Path, fault: str, allowed: str
     ) -> errors.DocumentError:
-        """Returns the error for a fault at a path."""
+        """Returns the error for an invalid value.
+
+        Args:
+            path: Path of the value.
+            fault: What is wrong with it.
+            allowed: Description of valid values.
+        """
         return errors.DocumentError(
-            self.name, self.line(path), show_path(path), fault, allowed
+            self.name, self.line(path), format_path(path), fault, allowed
         )
 
 
-def show_path(path: Path) -> str:
-    """Returns a path as operators see it, such as `rules[2].then.pool`."""
+def format_path(path: Path) -> str:
+    """Returns a path as text, such as `rules[2].then.pool`."""
     text = ''
     for part in path:
         if isinstance(part, int):
@@ -69,18 +75,19 @@
     return text or 'document'
 
 
-def refuse(name: str, line: int, fault: str, allowed: str) -> Exception:
-    """Returns the group for a fault that makes the text unreadable."""
+def unreadable(name: str, line: int, fault: str, allowed: str) -> Exception:
+    """Returns the error group for a fault that prevents parsing."""
     error = errors.DocumentError(name, line, 'document', fault, allowed)
     return errors.DocumentErrors(f'{name} cannot be used', [error])
 
 
 def parse(text: str | bytes, name: str) -> Document:
-    """Returns the document of a YAML text.
+    """Parses a YAML document.
 
     Raises:
-        DocumentErrors: The text is no YAML, or uses what is left out here:
-            aliases, tags, several documents, keys given twice.
+        DocumentErrors: The text is not valid YAML, or uses features that are
+            not supported here: aliases, tags, several documents, duplicate
+            keys.
     """
     text = decode(text, name)
     try:
@@ -90,7 +97,7 @@
         mark = getattr(exc, 'problem_mark', None)
         line = mark.line + 1 if mark else 1
         problem = getattr(exc, 'problem', None) or str(exc)
-        raise refuse(name, line, ' '.join(problem.split()), 'YAML') from exc
+        raise unreadable(name, line, ' '.join(problem.split()), 'YAML') from exc
     reader = NodeReader(name)
     value = reader.read(node, ()) if node is not None else None
     if reader.faults:
@@ -99,47 +106,63 @@
 
 
 def decode(text: str | bytes, name: str) -> str:
-    """Returns the text, checked for its size and encoding."""
+    """Returns the decoded text.
+
+    Raises:
+        DocumentErrors: The text is too long or not UTF-8.
+    """
     if len(text) > MAX_TEXT_BYTES:
-        raise refuse(name, 1, 'too long', f'{MAX_TEXT_BYTES} bytes')
+        raise unreadable(name, 1, 'too long', f'{MAX_TEXT_BYTES} bytes')
     if isinstance(text, str):
         return text
     try:
         return text.decode()
     except UnicodeDecodeError as exc:
         line = text.count(b'\n', 0, exc.start) + 1
-        raise refuse(name, line, 'not UTF-8', 'text in UTF-8') from exc
+        raise unreadable(name, line, 'not UTF-8', 'text in UTF-8') from exc
 
 
 def check_events(text: str, name: str) -> None:
-    """Refuses what could grow or nest without bound.
+    """Checks the parser events for unsupported YAML features.
+
+    A few lines of aliases of aliases expand to gigabytes, and deep nesting
+    causes a RecursionError in the composer. Both are detected here, from the
+    stream of events, before any node is built.
 
-    A few lines of aliases of aliases become gigabytes, and deep nesting
-    ends in a RecursionError inside the composer: both are seen here, where
-    events come one by one, before anything is built.
+    Raises:
+        DocumentErrors: The text has an alias, a tag, a second document, or
+            is nested deeper than `MAX_DEPTH`.
     """
     depth = 0
     documents = 0
     for event in yaml.parse(text, Loader=LOADER):
         line = event.start_mark.line + 1
         if isinstance(event, yaml.AliasEvent):
-            raise refuse(name, line, 'an alias', 'values written out')
+            raise unreadable(name, line, 'an alias', 'values written out')
         if getattr(event, 'tag', None):
-            raise refuse(name, line, f'tag {event.tag}', 'no tags')
+            raise unreadable(name, line, f'tag {event.tag}', 'no tags')
         if isinstance(event, yaml.DocumentStartEvent):
             documents += 1
         if documents > 1:
-            raise refuse(name, line, 'a second document', 'one document')
+            raise unreadable(name, line, 'a second document', 'one document')
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         if isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            raise refuse(name, line, 'nested too deep', f'depth {MAX_DEPTH}')
+            raise unreadable(
+                name, line, 'nested too deep', f'depth {MAX_DEPTH}'
+            )
 
 
 class NodeReader:
-    """Reads nodes into values, keeping lines and faults by path."""
+    """Converts nodes into values.
+
+    Attributes:
+        name: Name of the file.
+        lines: Line number of each key and list entry, by path.
+        faults: Errors found so far.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -161,40 +184,44 @@
     def members(
         self, node: yaml.MappingNode, path: Path
     ) -> Iterator[tuple[str, Any]]:
-        """Yields keys and values of a map."""
+        """Yields keys and values of a mapping node, without invalid keys."""
         seen = set()
         for key_node, value_node in node.value:
             line = key_node.start_mark.line + 1
             key = key_node.value
             if not isinstance(key_node, yaml.ScalarNode):
-                self.add(line, path, 'a key that is a list or map', 'a text')
+                self.add_fault(
+                    line, path, 'a key that is a list or map', 'a text'
+                )
                 continue
             if key in seen:
-                self.add(line, (*path, key), 'given twice', 'once')
+                self.add_fault(line, (*path, key), 'given twice', 'once')
                 continue
             seen.add(key)
             self.lines[(*path, key)] = line
             yield key, self.read(value_node, (*path, key))
 
-    def add(self, line: int, path: Path, fault: str, allowed: str) -> None:
-        """Keeps a fault."""
+    def add_fault(
+        self, line: int, path: Path, fault: str, allowed: str
+    ) -> None:
+        """Records an error."""
         self.faults.append(
             errors.DocumentError(
-                self.name, line, show_path(path), fault, allowed
+                self.name, line, format_path(path), fault, allowed
             )
         )
 
 
 def scalar(node: yaml.ScalarNode) -> Any:
-    """Returns the value of a scalar; what is quoted is a text."""
+    """Returns the value of a scalar; quoted scalars are strings."""
     return node.value if node.style else resolve(node.value)
 
 
 def resolve(text: str) -> Any:
-    """Returns what an unquoted scalar means.
+    """Returns the value of an unquoted scalar.
 
-    YAML 1.1 reads `no` as false, `010` as eight and `12:30` as 750; here
-    these are texts, so that a name never turns into something else.
+    YAML 1.1 parses `no` as false, `010` as 8 and `12:30` as 750. Here they are
+    strings, so that a name is never converted to another type.
     """
     if text in NULLS:
         return None
--- a/lavenderbend/standin/key_value_http.py
+++ b/lavenderbend/standin/key_value_http.py
@@ -36,11 +36,11 @@
     async def range(self, body: dict[str, Any]) -> dict[str, Any]:
         """Answers a read."""
         key, end = names(body)
-        limit = etcd.number(body.get('limit'))
+        limit = etcd.parse_integer(body.get('limit'))
         found = await self.store.read(key, end, limit)
         return {
             'header': {'revision': str(found.revision)},
-            'kvs': [etcd.item_to_wire(item) for item in found.items],
+            'kvs': [etcd.key_value_to_wire(item) for item in found.items],
             'count': str(len(found.items)),
         }
 
@@ -69,7 +69,7 @@
         """Writes a key under the conditions of a transaction."""
         key = etcd.from_base64(put['key']).decode()
         value = etcd.from_base64(put.get('value', ''))
-        lease = etcd.number(put.get('lease'))
+        lease = etcd.parse_integer(put.get('lease'))
         first, *guards = compares
         if first.target == 'MOD':
             return await self.store.replace(key, value, first.revision, lease)
@@ -88,7 +88,7 @@
 
     async def grant(self, body: dict[str, Any]) -> dict[str, Any]:
         """Answers a lease grant."""
-        seconds = etcd.number(body.get('TTL'))
+        seconds = etcd.parse_integer(body.get('TTL'))
         lease = await self.store.grant_lease(seconds)
         return {
             'header': self.header(),
@@ -98,7 +98,7 @@
 
     async def keepalive(self, body: dict[str, Any]) -> dict[str, Any]:
         """Answers a lease renewal; a lease that is gone has no TTL."""
-        lease = etcd.number(body.get('ID'))
+        lease = etcd.parse_integer(body.get('ID'))
         seconds = await self.store.renew_lease(lease)
         result = {'header': self.header(), 'ID': str(lease)}
         if seconds:
@@ -107,14 +107,14 @@
 
     async def revoke(self, body: dict[str, Any]) -> dict[str, Any]:
         """Answers the end of a lease."""
-        await self.store.revoke_lease(etcd.number(body.get('ID')))
+        await self.store.revoke_lease(etcd.parse_integer(body.get('ID')))
         return {'header': self.header()}
 
     async def watch(self, body: dict[str, Any]) -> AsyncIterator[bytes]:
         """Yields the lines of a watch until it ends."""
         create = body['create_request']
         key, end = names(create)
-        start = etcd.number(create.get('start_revision'))
+        start = etcd.parse_integer(create.get('start_revision'))
         start = start or self.store.revision + 1
         yield line({'header': self.header(), 'created': True})
         changes = self.store.watch(key, end, start)
@@ -136,7 +136,7 @@
 
 def event(change: Any) -> dict[str, Any]:
     """Returns the JSON form of a change."""
-    body: dict[str, Any] = {'kv': etcd.item_to_wire(change.item)}
+    body: dict[str, Any] = {'kv': etcd.key_value_to_wire(change.item)}
     if change.deleted:
         body['type'] = 'DELETE'
     return body
--- a/lavenderbend/transport/etcd_answers.py
+++ b/lavenderbend/transport/etcd_answers.py
@@ -64,7 +64,7 @@
         raise errors.KeyValueUnavailable('watch: ended by the service')
     return tuple(
         interfaces.Change(
-            etcd.item_from_wire(event['kv']),
+            etcd.key_value_from_wire(event['kv']),
             deleted=event.get('type') == 'DELETE',
         )
         for event in result.get('events', ())
--- a/lavenderbend/transport/key_value_etcd.py
+++ b/lavenderbend/transport/key_value_etcd.py
@@ -88,7 +88,7 @@
         if limit:
             body['limit'] = str(limit)
         answer = await self.call_again('range', etcd.RANGE, body)
-        items = tuple(map(etcd.item_from_wire, answer.get('kvs', ())))
+        items = tuple(map(etcd.key_value_from_wire, answer.get('kvs', ())))
         return interfaces.Range(etcd.revision_of(answer), items)
 
     async def create(
@@ -125,26 +125,26 @@
         if mod_revision is None:
             body = etcd.key_range(key, end)
             answer = await self.call('delete', etcd.DELETE_RANGE, body)
-            return etcd.number(answer.get('deleted'))
+            return etcd.parse_integer(answer.get('deleted'))
         body = etcd.delete_txn(key, end, mod_revision)
         answer = await self.call('delete', etcd.TXN, body)
         if not answer.get('succeeded'):
             return 0
         first = answer.get('responses', [{}])[0]
         deleted = first.get('response_delete_range', {}).get('deleted')
-        return etcd.number(deleted)
+        return etcd.parse_integer(deleted)
 
     async def grant_lease(self, seconds: float) -> int:
         """Returns a new lease of whole seconds, rounded up."""
         body = {'TTL': str(math.ceil(seconds))}
         answer = await self.call('grant', etcd.LEASE_GRANT, body)
-        return etcd.number(answer.get('ID'))
+        return etcd.parse_integer(answer.get('ID'))
 
     async def renew_lease(self, lease: int) -> float:
         """Renews the lease; 0 if it is gone."""
         body = {'ID': str(lease)}
         answer = await self.call('keepalive', etcd.LEASE_KEEPALIVE, body)
-        return float(etcd.number(answer.get('result', {}).get('TTL')))
+        return float(etcd.parse_integer(answer.get('result', {}).get('TTL')))
 
     async def revoke_lease(self, lease: int) -> None:
         """Ends the lease; one that is gone already is no error."""
--- a/lavenderbend/transport/operator_decisions.py
+++ b/lavenderbend/transport/operator_decisions.py
@@ -208,7 +208,7 @@
     try:
         value = orjson.loads(data)
     except orjson.JSONDecodeError as exc:
-        raise yaml_nodes.refuse('question', 1, str(exc), 'JSON') from exc
+        raise yaml_nodes.unreadable('question', 1, str(exc), 'JSON') from exc
     document = yaml_nodes.Document('question', value, {})
     return documents_yaml.structure(document, Question)
 
--- a/lavenderbend/transport/peer_datagrams.py
+++ b/lavenderbend/transport/peer_datagrams.py
@@ -95,7 +95,7 @@
                 wanted = await read_message(stream)
                 current = self.snapshot()
                 if current is not None and isinstance(
-                    wanted, messages_forwarding.SnapshotWanted
+                    wanted, messages_forwarding.SnapshotRequest
                 ):
                     since = wanted.known_revision
                     content = changes_of(
@@ -120,7 +120,7 @@
             CodecError: What it answered is none.
         """
         revision = 0 if known is None else known.revision
-        wanted = messages_forwarding.SnapshotWanted(revision)
+        wanted = messages_forwarding.SnapshotRequest(revision)
         try:
             with trio.fail_after(FETCH_SECONDS):
                 stream = await trio.open_tcp_stream(host, self.port)
--- a/tests/test_coordination/test_admission_views.py
+++ b/tests/test_coordination/test_admission_views.py
@@ -152,7 +152,9 @@
     (group,) = admission.owners
     before = admission.owners[group]
     admission.owners[group] = name
-    admission.send_notice(before, messages.PermitMoved(group.pool, group.index))
+    admission.send_notice(
+        before, messages.PermitOwnerChanged(group.pool, group.index)
+    )
     admission.register(group, name, list(admission.held.values()))
 
 
--- a/tests/test_coordination/test_forwarding_owners.py
+++ b/tests/test_coordination/test_forwarding_owners.py
@@ -46,9 +46,9 @@
 
 async def test_reply_holds_the_load_of_earlier_requests(owned, autojump_clock):
     first = owned.reserve(request(1))
-    assert (first.load, first.unread, first.holders) == (0, 0, [])
+    assert (first.load, first.unread_tokens, first.holders) == (0, 0, [])
     second = owned.reserve(request(2, chat=78))
-    assert (second.load, second.unread) == (1, 9000)
+    assert (second.load, second.unread_tokens) == (1, 9000)
 
 
 async def test_request_received_twice_is_counted_once(owned, autojump_clock):
@@ -62,9 +62,9 @@
     owned.reserve(request(1))
     owned.apply_notes(notes([BEGUN, 1, 5, 77, 0]))
     later = owned.reserve(request(2))
-    assert (later.load, later.unread, later.holders) == (1, 0, [5])
+    assert (later.load, later.unread_tokens, later.holders) == (1, 0, [5])
     # The chat is cached there now: only its own part is to be processed.
-    assert owned.reserve(request(3)).unread == 500
+    assert owned.reserve(request(3)).unread_tokens == 500
 
 
 async def test_request_of_a_dead_router_counts_until_its_deadline(
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -82,7 +82,7 @@
     path = one.dispatcher.components.settings
     assert path.answers == one.upstream_client.limits
     assert path.answers == http_limits.AnswerLimits(
-        event_bytes=2048, whole_bytes=3 * 1024 * 1024, stall_seconds=5.0
+        event_bytes=2048, answer_bytes=3 * 1024 * 1024, stall_seconds=5.0
     )
     assert (path.held_bytes, path.retry_after_seconds) == (4096, 6.0)
     assert path.retries.share == 0.2
--- a/tests/test_protocol/test_protocol_openai.py
+++ b/tests/test_protocol/test_protocol_openai.py
@@ -73,8 +73,10 @@
     # spaces; known by its bytes it would crash two more.
     first = body([SYSTEM, USER])
     again = b' ' + body([SYSTEM, USER], stream=True, temperature=0.1)
-    assert openai.work_of(first) == openai.work_of(again)
-    assert openai.work_of(first) != openai.work_of(body([USER, SYSTEM]))
+    assert openai.canonical_input(first) == openai.canonical_input(again)
+    assert openai.canonical_input(first) != openai.canonical_input(
+        body([USER, SYSTEM])
+    )
 
 
 def test_rewrite_replaces_only_what_is_given():
@@ -106,8 +108,8 @@
 
 def test_whole_answer_of_another_request_is_refused():
     data = orjson.dumps({'id': 'chatcmpl-other', 'choices': [{}]})
-    openai.check_whole(data, 'other')
+    openai.check_complete(data, 'other')
     with pytest.raises(errors.AnswerMismatch):
-        openai.check_whole(data, 'mine')
+        openai.check_complete(data, 'mine')
     with pytest.raises(errors.UpstreamBroke):
-        openai.check_whole(b'{"choices": [], "id": "mine"}', 'mine')
+        openai.check_complete(b'{"choices": [], "id": "mine"}', 'mine')
--- a/tests/test_protocol/test_protocol_packed_rows.py
+++ b/tests/test_protocol/test_protocol_packed_rows.py
@@ -20,10 +20,12 @@
     )
 )
 def test_hosts_come_back_no_younger(rows):
-    found = list(packed_rows.unpack_heard(packed_rows.pack_heard(rows)))
+    found = list(packed_rows.unpack_hosts(packed_rows.pack_hosts(rows)))
     assert [host for host, _ in found] == [host for host, _ in rows]
     for (_, before), (_, after) in zip(rows, found, strict=True):
-        assert before <= after <= before + 1.0 / packed_rows.AGES_PER_SECOND
+        assert (
+            before <= after <= before + 1.0 / packed_rows.AGE_UNITS_PER_SECOND
+        )
 
 
 def test_what_is_larger_than_a_byte_is_the_largest():
@@ -39,6 +41,6 @@
 
 @hypothesis.given(strategies.binary(max_size=64))
 def test_any_bytes_are_read(data):
-    list(packed_rows.unpack_heard(data))
+    list(packed_rows.unpack_hosts(data))
     list(packed_rows.unpack_reports(data))
     list(packed_rows.unpack_counts(data))
--- a/tests/test_protocol/test_protocol_samples.py
+++ b/tests/test_protocol/test_protocol_samples.py
@@ -24,49 +24,49 @@
     ),
     (peer.Done(), '9102'),
     (
-        messages_agreed.RevisionSay(number=1, digest='text2'),
+        messages_agreed.RevisionNotice(number=1, digest='text2'),
         '931401a57465787432',
     ),
     (
-        messages_agreed.RevisionAsk(number=1, digest='text2'),
+        messages_agreed.RevisionRequest(number=1, digest='text2'),
         '931501a57465787432',
     ),
-    (messages_agreed.EntriesAsk(after=1), '921601'),
+    (messages_agreed.EntriesRequest(after=1), '921601'),
     (
-        messages_agreed.EntriesAnswer(
+        messages_agreed.EntriesReply(
             first=1, records=[b'bytes2'], snapshot=b'bytes3'
         ),
         '94170191c406627974657332c406627974657333',
     ),
     (
-        messages_agreed.ClaimAsk(
+        messages_agreed.ClaimCommitRequest(
             shard=1,
             key=b'bytes2',
             token=b'bytes3',
             digest=b'bytes4',
-            patience=5.5,
+            timeout_seconds=5.5,
             shards=6,
         ),
         '971e01c406627974657332c406627974657333c406627974657334cb401600000000000006',
     ),
     (
-        messages_agreed.ClaimAnswer(state='text1', outcome='text2', status=3),
+        messages_agreed.ClaimReply(state='text1', outcome='text2', status=3),
         '941fa57465787431a5746578743203',
     ),
     (
-        messages_agreed.OutcomesSay(
+        messages_agreed.OutcomesCommitRequest(
             shard=1,
             keys=[b'bytes2'],
             tokens=[b'bytes3'],
             outcomes=['text4'],
             statuses=[5, 105],
-            patience=6.5,
+            timeout_seconds=6.5,
         ),
         '97200191c40662797465733291c40662797465733391a57465787434920569cb401a000000000000',
     ),
-    (messages_agreed.OutcomesAnswer(committed=True), '9221c3'),
+    (messages_agreed.OutcomesReply(committed=True), '9221c3'),
     (
-        messages_agreed.ClaimLook(
+        messages_agreed.ClaimLookup(
             shard=1, key=b'bytes2', token=b'bytes3', digest=b'bytes4'
         ),
         '952201c406627974657332c406627974657333c406627974657334',
@@ -82,12 +82,12 @@
             adapter=7,
             priority=8,
             prompt_tokens=9,
-            left=10,
-            hold=11,
+            milliseconds_left=10,
+            hold_milliseconds=11,
             avoid=[12, 112],
             hops=13,
             suspect=True,
-            held=15,
+            held_permits=15,
         ),
         'dc0010320102030405060708090a0b920c700dc30f',
     ),
@@ -113,7 +113,7 @@
         ),
         '9736010292036792046892056992066a',
     ),
-    (messages_decisions.PermitMoved(pool=1, group=2), '93370102'),
+    (messages_decisions.PermitOwnerChanged(pool=1, group=2), '93370102'),
     (
         messages_decisions.PermitDigest(
             pools=[1, 101], groups=[2, 102], counts=[3, 103], digests=[4, 104]
@@ -121,9 +121,9 @@
         '9538920165920266920367920468',
     ),
     (messages_decisions.PermitResync(pool=1, group=2), '93390102'),
-    (messages_decisions.PermitElsewhere(group=1), '923a01'),
+    (messages_decisions.PermitRedirect(group=1), '923a01'),
     (
-        messages_decisions.PlacesCopy(
+        messages_decisions.ReplicatedPlaces(
             pool=1,
             group=2,
             upstreams=[3, 103],
@@ -142,18 +142,23 @@
     (messages_decisions.Quarantined(fingerprint=1, seconds=2), '933d0102'),
     (messages_decisions.SuspectCleared(fingerprints=[1, 101]), '923e920165'),
     (
-        messages_decisions.GroupSums(
+        messages_decisions.GroupTotals(
             pool=1, groups=[2, 102], loads=[3, 103], engines=[4, 104]
         ),
         '953f01920266920367920468',
     ),
     (
-        messages_decisions.PermitPoll(number=1, pool=2, group=3, hold=4),
+        messages_decisions.PermitPoll(
+            number=1, pool=2, group=3, hold_milliseconds=4
+        ),
         '954001020304',
     ),
     (
         messages_decisions.CustomerDemand(
-            customers=[1, 101], rates=[2, 102], wants=[3, 103], held=[4, 104]
+            customers=[1, 101],
+            rates=[2, 102],
+            deficits=[3, 103],
+            held_tokens=[4, 104],
         ),
         '9541920165920266920367920468',
     ),
@@ -212,11 +217,13 @@
     ),
     (messages_membership.Updates(updates=['text1', 1]), '925892a5746578743101'),
     (
-        messages_membership.SyncAsk(updates=['text1', 1], want_list=True),
+        messages_membership.SyncRequest(
+            updates=['text1', 1], include_vm_list=True
+        ),
         '935992a5746578743101c3',
     ),
     (
-        messages_membership.SyncAnswer(updates=['text1', 1]),
+        messages_membership.SyncReply(updates=['text1', 1]),
         '925a92a5746578743101',
     ),
     (messages_membership.UpstreamProbe(upstream='text1'), '925ba57465787431'),
@@ -230,7 +237,7 @@
         ),
         '9665019193a36b657904c40576616c756591a5746578743391a5746578743405',
     ),
-    (messages_forwarding.SnapshotWanted(known_revision=1), '926701'),
+    (messages_forwarding.SnapshotRequest(known_revision=1), '926701'),
     (
         messages_forwarding.RouterState(
             name='text1',
@@ -238,21 +245,21 @@
             host='text3',
             zone='text4',
             leaving=True,
-            asks=True,
+            reply_requested=True,
             sent_at=7.5,
             echo_incarnation=8,
             echo_at=9.5,
-            echo_held=10.5,
+            echo_delay=10.5,
             proof_age=11.5,
             revision=12,
             digest=13,
-            bound=14,
+            peak_routers=14,
             zones=[['zone', 2, 3]],
             facts=[['router', 'kind', 'text', 4, 5]],
-            heard=b'bytes17',
+            same_zone_hosts=b'bytes17',
             reports=b'bytes18',
             requests=b'bytes19',
-            hosts=[['host', b'rows']],
+            other_zone_hosts=[['host', b'rows']],
             prompts=b'bytes21',
         ),
         'dc001668a5746578743102a57465787433a57465787434c3c3cb401e00000000000008cb4023000000000000cb4025000000000000cb40270000000000000c0d0e9193a47a6f6e6502039195a6726f75746572a46b696e64a4746578740405c40762797465733137c40762797465733138c407627974657331399192a4686f7374c404726f7773c40762797465733231',
@@ -266,7 +273,7 @@
             chat=5,
             tokens=6,
             own_tokens=7,
-            milliseconds=8,
+            lifetime_milliseconds=8,
             forwarded=True,
         ),
         '9a6e01a5746578743203a5746578743405060708c3',
@@ -277,7 +284,7 @@
             owner='text2',
             upstream=3,
             load=4,
-            unread=5,
+            unread_tokens=5,
             holders=[6, 106],
         ),
         '976f01a5746578743203040592066a',
@@ -320,7 +327,7 @@
         documents.Splice(section='rules', first=1, last=2, items=(b'item',)),
     ),
 )
-KNOWN = records_configuration.Known(
+KNOWN = records_configuration.StoredRevision(
     number=0,
     document=documents.EMPTY,
     author='ana',
@@ -383,9 +390,10 @@
     # a router that cannot read the log stays at an old configuration
     assert records_configuration.encode(RECORD).hex() == RECORD_BYTES
     assert records_configuration.decode(bytes.fromhex(RECORD_BYTES)) == RECORD
-    assert records_configuration.encode_known(KNOWN).hex() == KNOWN_BYTES
+    assert records_configuration.encode_revision(KNOWN).hex() == KNOWN_BYTES
     assert (
-        records_configuration.decode_known(bytes.fromhex(KNOWN_BYTES)) == KNOWN
+        records_configuration.decode_revision(bytes.fromhex(KNOWN_BYTES))
+        == KNOWN
     )
 
 
--- a/tests/test_transport/test_peer_datagrams.py
+++ b/tests/test_transport/test_peer_datagrams.py
@@ -13,7 +13,7 @@
 from lavenderbend.transport import peer_datagrams
 from tests import forwarding_fakes as fakes
 
-NOTICE = messages_forwarding.SnapshotWanted(7)
+NOTICE = messages_forwarding.SnapshotRequest(7)
 
 
 class Received:
