--- a/lavenderbend/platform/__init__.py
+++ b/lavenderbend/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: names, formats and calls of its metadata store.
+"""Adapter to the users' platform: formats and calls of its metadata store.
 
-Only the daemon's wiring imports this package. Nothing in it decides.
+Only the daemon's wiring imports this package. It contains no decision logic.
 """
--- a/lavenderbend/platform/configuration_document.py
+++ b/lavenderbend/platform/configuration_document.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as it lies in the platform's store."""
+"""Decoding of the operator's configuration in the platform's store."""
 
 from __future__ import annotations
 
@@ -10,49 +10,54 @@
 
 IDEMPOTENT = 'idempotent'
 STREAMING = 'streaming'
-# upstreams take a request without a rank as one of this
+# Upstreams treat a request without a rank as one of this rank.
 DEFAULT_RANK = 5
 DEFAULT_TARGET_MILLISECONDS = 1000
 DEFAULT_GAP_MILLISECONDS = 250
 
 
 class TableDecoder:
-    """Decodes one version of the configuration after the other.
+    """Decodes successive versions of the configuration.
 
-    Most routes of a version are those of the one before: decoding hundreds
-    anew would stop a router, and all streams through it, for as long.
+    Most routes of a version are the same as in the previous one. Their rules
+    are reused, since decoding hundreds of routes would block the router, and
+    all streams through it, meanwhile.
 
     Attributes:
-        known: Routes of the latest version and their rules, by name.
+        decoded_routes: Routes of the latest version with their rules, by name.
     """
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[dict[str, Any], forwarding.ForwardRule]]
-        self.known = {}
+        self.decoded_routes: dict[
+            str, tuple[dict[str, Any], forwarding.ForwardRule]
+        ]
+        self.decoded_routes = {}
 
     def decode(self, value: dict[str, Any]) -> forwarding.ForwardingTable:
-        """Returns a version: the longest prefix becomes the first rule."""
+        """Returns a version's table; longer path prefixes come first."""
         routes = sorted(
-            value['routes'], key=lambda one: -len(one['pathPrefix'])
+            value['routes'], key=lambda route: -len(route['pathPrefix'])
         )
         rules = [(route, self.rule(route)) for route in routes]
         table = forwarding.ForwardingTable(
             version=value['version'],
-            rules=tuple(found for _, found in rules),
-            pools=tuple(pool(one) for one in value['services']),
+            rules=tuple(rule for _, rule in rules),
+            pools=tuple(pool(service) for service in value['services']),
             customers=tuple(
-                customer(one) for one in value.get('tenants') or ()
+                customer(tenant) for tenant in value.get('tenants') or ()
             ),
             limits=limits(value['limits']),
         )
-        self.known = {found.name: (route, found) for route, found in rules}
+        self.decoded_routes = {
+            rule.name: (route, rule) for route, rule in rules
+        }
         return table
 
     def rule(self, route: dict[str, Any]) -> forwarding.ForwardRule:
-        """Returns the rule of a route, the same object if it is the same."""
-        known = self.known.get(route['name'])
-        if known is not None and known[0] == route:
-            return known[1]
+        """Returns the rule of a route, the same object if it is unchanged."""
+        previous = self.decoded_routes.get(route['name'])
+        if previous is not None and previous[0] == route:
+            return previous[1]
         return rule(route)
 
 
@@ -66,14 +71,14 @@
 
 
 def forward(route: dict[str, Any]) -> forwarding.Forward:
-    """Returns how a route forwards."""
+    """Returns the forwarding settings of a route."""
     target = route.get('targetLatencyMs') or DEFAULT_TARGET_MILLISECONDS
     gap = route.get('targetGapMs') or DEFAULT_GAP_MILLISECONDS
     return forwarding.Forward(
         pools=shares(route),
         timeout=route['timeoutMs'] / 1000,
         attempts=route.get('maxAttempts') or 1,
-        # the kind alone says what may be repeated
+        # Only the kind determines which requests may be retried.
         idempotent=route['kind'] == IDEMPOTENT,
         streaming=route['kind'] == STREAMING,
         resumable=bool(route.get('resumable')),
@@ -85,7 +90,7 @@
 
 
 def shares(route: dict[str, Any]) -> tuple[forwarding.PoolShare, ...]:
-    """Returns the services of a route with their weights."""
+    """Returns the pools of a route's services with their weights."""
     split = route.get('trafficSplit')
     if not split:
         return (forwarding.PoolShare(route['service'], 1.0),)
@@ -108,7 +113,7 @@
 
     Raises:
         KeyError: A field is missing.
-        TypeError: The credentials are no list of texts.
+        TypeError: The credentials are not a list of strings.
     """
     credentials = tenant['apiKeys']
     field_types.check_type('apiKeys', credentials, list)
@@ -122,7 +127,7 @@
 
 
 def limits(value: dict[str, Any]) -> forwarding.CallerLimits:
-    """Returns the limits of callers."""
+    """Returns the limits on callers' connections and requests."""
     return forwarding.CallerLimits(
         header_bytes=value['maxHeaderBytes'],
         body_bytes=value['maxBodyBytes'],
--- a/lavenderbend/platform/field_types.py
+++ b/lavenderbend/platform/field_types.py
@@ -1,15 +1,15 @@
-"""Types of fields that others write into the platform's store."""
+"""Type checks of fields that other programs write to the platform's store."""
 
 from __future__ import annotations
 
 
 def check_type(
-    field: str, value: object, kinds: type | tuple[type, ...]
+    field: str, value: object, types: type | tuple[type, ...]
 ) -> None:
-    """Checks the type of a field; true and false are no numbers.
+    """Checks the type of a field; booleans do not count as integers.
 
     Raises:
-        TypeError: It is of another type.
+        TypeError: The value is of another type.
     """
-    if isinstance(value, bool) or not isinstance(value, kinds):
+    if isinstance(value, bool) or not isinstance(value, types):
         raise TypeError(f'{field}: {type(value).__name__}')
--- a/lavenderbend/platform/snapshot_decoding.py
+++ b/lavenderbend/platform/snapshot_decoding.py
@@ -1,4 +1,4 @@
-"""Items of the platform's store, decoded into a snapshot."""
+"""Decoding of the platform store's items into a snapshot."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 
 @attrs.frozen
-class Decoded:
-    """An item of the store, decoded.
+class DecodedItem:
+    """A decoded item of the store.
 
     Attributes:
         revision: Revision of its last change.
-        value: The table or the upstream, None if it names none.
+        value: The table or the upstream, None if the entry is not usable.
     """
 
     revision: int
@@ -44,46 +44,53 @@
 
 def decode_items(
     raw: forwarding.RawSnapshot,
-    before: Mapping[str, Decoded],
-    tables: configuration_document.TableDecoder,
-) -> dict[str, Decoded]:
-    """Returns the items that matter, decoded if they have changed.
+    before: Mapping[str, DecodedItem],
+    table_decoder: configuration_document.TableDecoder,
+) -> dict[str, DecodedItem]:
+    """Returns the configuration and upstreams; decodes only changed items.
 
-    A configuration of some hundred routes takes milliseconds to decode, and
-    upstreams come and go far more often than it changes.
+    A configuration with hundreds of routes takes milliseconds to decode, and
+    entries of upstreams change far more often than the configuration.
+
+    Args:
+        raw: The items as read.
+        before: Result for the previous snapshot.
+        table_decoder: Decoder of the configuration.
 
     Raises:
-        CodecError: The configuration cannot be read.
+        CodecError: The configuration cannot be decoded.
     """
-    found: dict[str, Decoded] = {}
+    decoded: dict[str, DecodedItem] = {}
     for key, item in raw.items.items():
-        known = before.get(key)
-        if known is not None and known.revision == item.revision:
-            found[key] = known
+        previous = before.get(key)
+        if previous is not None and previous.revision == item.revision:
+            decoded[key] = previous
         elif key == CONFIGURATION_KEY:
-            value = parsed(key, item.value, tables.decode)
-            found[key] = Decoded(item.revision, value)
+            value = decode_json(key, item.value, table_decoder.decode)
+            decoded[key] = DecodedItem(item.revision, value)
         elif key.startswith(UPSTREAM_PREFIX):
-            found[key] = Decoded(item.revision, usable_upstream(key, item))
-    return found
+            decoded[key] = DecodedItem(
+                item.revision, decode_upstream(key, item)
+            )
+    return decoded
 
 
-def usable_upstream(
+def decode_upstream(
     key: str, item: forwarding.RawItem
 ) -> forwarding.Upstream | None:
-    """Returns the upstream of an entry, None if it names none to use.
+    """Returns the upstream of an entry, None if the entry is invalid.
 
-    Any program may write entries. One that cannot be read must not stop the
-    others from being followed: all routers would keep an old configuration.
+    Any program can write entries. An invalid one must not prevent the use of
+    the others: all routers would otherwise keep an outdated configuration.
     """
     name = key[len(UPSTREAM_PREFIX) :]
     try:
-        found = parsed(
+        upstream = decode_json(
             key,
             item.value,
             lambda value: upstream_entries.upstream(name, value),
         )
-        return attrs.evolve(found, revision=item.revision)
+        return attrs.evolve(upstream, revision=item.revision)
     except errors.CodecError as exc:
         UNREADABLE.inc({})
         logs.change('entry_unreadable', revision=item.revision, cause=str(exc))
@@ -91,25 +98,30 @@
 
 
 def snapshot(
-    raw: forwarding.RawSnapshot, decoded: Mapping[str, Decoded]
+    raw: forwarding.RawSnapshot, decoded: Mapping[str, DecodedItem]
 ) -> forwarding.Snapshot:
-    """Returns the snapshot that decoded items make."""
+    """Returns the snapshot of decoded items."""
     table = decoded.get(CONFIGURATION_KEY)
-    found = {
+    by_instance = {
         item.value.instance: item.value
         for key, item in decoded.items()
         if key.startswith(UPSTREAM_PREFIX) and item.value is not None
     }
     return forwarding.Snapshot(
-        raw.revision, raw.digest, table and table.value, found, raw
+        raw.revision, raw.digest, table and table.value, by_instance, raw
     )
 
 
-def parsed(key: str, data: bytes, decoder: Callable[[Any], Any]) -> Any:
+def decode_json(key: str, data: bytes, decoder: Callable[[Any], Any]) -> Any:
     """Returns the decoded value of an item.
 
+    Args:
+        key: Key of the item, named in errors.
+        data: Value of the item, JSON.
+        decoder: Decodes the parsed JSON.
+
     Raises:
-        CodecError: It cannot be read.
+        CodecError: The value cannot be decoded.
     """
     try:
         return decoder(orjson.loads(data))
--- a/lavenderbend/platform/store.py
+++ b/lavenderbend/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's metadata store."""
+"""Client of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -25,41 +25,41 @@
 
 RANGE = '/lavenderbend/kv-range'
 WATCH = '/lavenderbend/kv-watch'
-# the operator's configuration and the entries of upstreams are the only keys;
-# one call reads both
+# The store has no keys but the operator's configuration and the entries of
+# upstreams, so that one call can read both.
 ALL_KEYS = ''
-# no key begins so: an answer with the revision alone
+# No key has this prefix: the response contains only the revision.
 NO_KEYS = 'none/'
 MAX_PAGES = 20
-# a watch answers at once if there are changes; one that hears nothing is not
-# waited for
+# A watch answers at once if there are changes; without any, it is not worth
+# waiting longer.
 WATCH_MILLISECONDS = 20
 OK = 200
 GONE = 410
 
 
 class PlatformStore(interfaces.SnapshotSource):
-    """Reads the platform's store.
+    """Reads snapshots and changes from the platform's store.
 
     Attributes:
-        calls: The connection to it.
-        decoded: The items that were decoded last, by key.
-        tables: Decodes the configuration.
+        calls: HTTP client of the store.
+        decoded: Items of the last decoded snapshot, by key.
+        table_decoder: Decoder of the configuration.
     """
 
     def __init__(self, address: str, timeout_seconds: float) -> None:
-        """Makes a client that connects at its first call.
+        """Creates a client that connects on its first call.
 
         Args:
             address: URL of the store.
-            timeout_seconds: A call without an answer after this has failed.
+            timeout_seconds: Time limit of each call.
         """
         url = parse.urlsplit(address)
         self.calls = http_calls.HttpCaller(
             url.hostname or '', url.port or 80, timeout_seconds
         )
-        self.decoded: dict[str, snapshot_decoding.Decoded] = {}
-        self.tables = configuration_document.TableDecoder()
+        self.decoded: dict[str, snapshot_decoding.DecodedItem] = {}
+        self.table_decoder = configuration_document.TableDecoder()
 
     async def read(self) -> forwarding.RawSnapshot:
         """Reads all keys.
@@ -70,16 +70,16 @@
         return await self.read_range(ALL_KEYS)
 
     async def newest_revision(self) -> int:
-        """Returns the store's revision, by a call that returns no item.
+        """Returns the store's revision, by a call that returns no items.
 
         Raises:
             KeyValueError: The store did not answer, or refused.
         """
-        page = await self.page(NO_KEYS, '')
+        page = await self.read_page(NO_KEYS, '')
         return page.revision
 
     async def changes_since(self, revision: int) -> forwarding.Changes | None:
-        """Returns what a watch tells at once, None if it is too long ago.
+        """Returns the changes that a watch reports, None if they are compacted.
 
         Raises:
             KeyValueError: The store did not answer, or refused.
@@ -97,7 +97,7 @@
         )
 
     async def read_range(self, prefix: str) -> forwarding.RawSnapshot:
-        """Reads the keys that begin so, page by page.
+        """Reads all keys with a prefix, page by page.
 
         Raises:
             KeyValueError: The store did not answer.
@@ -106,20 +106,26 @@
         revision = None
         after = ''
         for _ in range(MAX_PAGES):
-            page = await self.page(prefix, after)
-            # pages are no snapshot: what the first one holds is known to be
-            # the newest only as of the first call
+            page = await self.read_page(prefix, after)
+            # The pages are not read atomically: the items on the first one
+            # are certain to be current only as of the first call.
             revision = page.revision if revision is None else revision
             items.update(page.items)
             if not page.has_more:
                 return forwarding.RawSnapshot(revision, items)
             after = next(reversed(page.items))
-        # a part of the store would pass for all of it: upstreams on the
-        # pages that were not read would be taken for gone
-        raise errors.KeyValueUnavailable(f'more than {MAX_PAGES} pages')
+        # A part of the store must not be returned as the whole: upstreams on
+        # pages that were not read would be treated as removed.
+        raise errors.KeyValueUnavailable(
+            f'store has more than {MAX_PAGES} pages'
+        )
+
+    async def read_page(self, prefix: str, after: str) -> store_answers.Page:
+        """Reads one page of the keys with a prefix.
 
-    async def page(self, prefix: str, after: str) -> store_answers.Page:
-        """Reads the keys that begin so, after one.
+        Args:
+            prefix: The prefix.
+            after: Last key of the previous page, empty for the first page.
 
         Raises:
             KeyValueError: The store did not answer, or refused.
@@ -133,11 +139,11 @@
     def decoded_answer(
         self, answer: http_calls.CallAnswer, decoder: Callable[[Any], T]
     ) -> T:
-        """Returns what an answer holds.
+        """Returns the decoded body of a response.
 
         Raises:
-            KeyValueUnavailable: The store refused, or answered nothing that
-                can be read.
+            KeyValueUnavailable: The store refused, or its response cannot be
+                decoded.
         """
         if answer.status != OK:
             raise errors.KeyValueUnavailable(f'status {answer.status}')
@@ -148,12 +154,12 @@
             raise errors.KeyValueUnavailable(cause) from exc
 
     def decode(self, raw: forwarding.RawSnapshot) -> forwarding.Snapshot:
-        """Returns what a read returned, decoded.
+        """Returns the decoded snapshot of a read.
 
         Raises:
-            CodecError: It cannot be read; the field is named.
+            CodecError: An item cannot be decoded; names the field.
         """
         self.decoded = snapshot_decoding.decode_items(
-            raw, self.decoded, self.tables
+            raw, self.decoded, self.table_decoder
         )
         return snapshot_decoding.snapshot(raw, self.decoded)
--- a/lavenderbend/platform/store_answers.py
+++ b/lavenderbend/platform/store_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store, decoded into items and changes."""
+"""Decoding of the platform store's responses into items and changes."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @attrs.frozen
 class Page:
-    """A part of the store.
+    """One page of the store's items.
 
     Attributes:
-        revision: The store's revision at the call.
-        items: By key; at least one if there are more.
-        has_more: Whether keys follow behind the last of these.
+        revision: The store's revision at the time of the call.
+        items: Items by key; not empty if `has_more`.
+        has_more: Whether there are keys after the last of these.
     """
 
     revision: int
@@ -27,45 +27,51 @@
 
 
 def decode_page(value: dict[str, Any]) -> Page:
-    """Returns an answer of the store, decoded.
+    """Returns the page in a response of the store.
 
     Raises:
-        ValueError: A revision is no number, or more keys follow behind none.
+        ValueError: A revision is not a number, or the page has no items but
+            claims that more follow.
         KeyError: A field is missing.
         TypeError: A field is of another type.
     """
     items = {item['key']: decode_item(item) for item in value['items']}
     if value['hasMore'] and not items:
-        raise ValueError('more keys behind an empty page')
+        raise ValueError('empty page that has more keys after it')
     return Page(int(value['storeRevision']), items, value['hasMore'])
 
 
 def decode_changes(since: int, value: dict[str, Any]) -> forwarding.Changes:
-    """Returns the changes in an answer of the store.
+    """Returns the changes in a response of the store.
+
+    Args:
+        since: Revision after which the changes were requested.
+        value: The response.
 
     Raises:
-        ValueError: A revision is no number.
+        ValueError: A revision is not a number.
         KeyError: A field is missing.
         TypeError: A field is of another type.
     """
     events = value['events']
     field_types.check_type('events', events, list)
-    entries = tuple(decode_change(one) for one in events)
+    entries = tuple(decode_change(event) for event in events)
     return forwarding.Changes(since, entries)
 
 
 def decode_change(value: dict[str, Any]) -> forwarding.Change:
-    """Returns one change; raises as `decode_changes` does."""
+    """Returns one change; raises the errors of `decode_changes`."""
     field_types.check_type('event', value, dict)
     item = None if value.get('deleted') else decode_item(value)
     return forwarding.Change(int(value['rev']), value['key'], item)
 
 
 def decode_item(value: dict[str, Any]) -> forwarding.RawItem:
-    """Returns one item; raises as `decode_changes` does.
+    """Returns one item; raises the errors of `decode_changes`.
 
-    A value that is no base64 counts as empty, which no reader of values
-    takes for sound: it must not cost the other items of its page.
+    A value that is not base64 is replaced by an empty one, which every decoder
+    of values rejects, so that it does not invalidate the other items of its
+    page.
     """
     try:
         content = base64.b64decode(value['value'])
--- a/lavenderbend/platform/upstream_entries.py
+++ b/lavenderbend/platform/upstream_entries.py
@@ -1,4 +1,4 @@
-"""What an upstream writes of itself to the platform's store."""
+"""Decoding of the entries of upstreams in the platform's store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     'ready': upstreams.VmState.LIVE,
     'draining': upstreams.VmState.LEAVING,
 }
-# what an entry of an upstream holds, beside what this program does not read
+# Fields required in an entry; other fields are ignored.
 UPSTREAM_FIELDS = {
     'service': str,
     'address': str,
@@ -25,8 +25,9 @@
     'coldLeftMs': (int, float),
     'seqNo': int,
 }
-# an id goes into a header, which a line end in it would end; a slash parts it
-# from its start, and an id with one could pass for another upstream's start
+# Ids are sent in a header, which a line ending in the id would terminate. A
+# slash separates id and start time in instance ids; an id with a slash could
+# equal the instance id of another upstream.
 UPSTREAM_ID = re.compile(r'[!-.0-~]{1,200}')
 MAX_PORT = 65535
 
@@ -35,20 +36,20 @@
     """Returns the upstream of an entry.
 
     Raises:
-        ValueError: A field has a value that names no upstream.
+        ValueError: The id or the value of a field is invalid.
         KeyError: A field is missing.
         TypeError: A field is of another type.
     """
-    for field, kinds in UPSTREAM_FIELDS.items():
-        field_types.check_type(field, value[field], kinds)
+    for field, types in UPSTREAM_FIELDS.items():
+        field_types.check_type(field, value[field], types)
     if not UPSTREAM_ID.fullmatch(name):
-        raise ValueError('the id cannot go into a header')
+        raise ValueError('the id has characters invalid in a header')
     host, _, port = value['address'].rpartition(':')
     ipaddress.IPv4Address(host)
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
-        raise ValueError('address: no port')
+        raise ValueError('address: no valid port')
     if value['slots'] < 1:
-        raise ValueError('slots: none')
+        raise ValueError('slots: less than 1')
     state = STATES.get(value['state'])
     if state is None:
         raise ValueError('state: unknown')
@@ -61,14 +62,14 @@
         kind=upstreams.UpstreamKind.SERVICE,
         state=state,
     )
-    return forwarding.Upstream(start_of(name, value), vm, value['slots'])
+    return forwarding.Upstream(instance_id(name, value), vm, value['slots'])
 
 
-def start_of(name: str, value: dict[str, Any]) -> str:
-    """Returns what tells a start of an upstream from its other starts.
+def instance_id(name: str, value: dict[str, Any]) -> str:
+    """Returns an id that differs for each start of an upstream.
 
-    An id may be taken again by a later start, which holds nothing of what
-    the earlier one had cached, run or reported.
+    A later start may reuse the upstream's id, but has none of the earlier
+    one's cached prompts, running requests or reported load.
     """
     born = value.get('born')
     if born is None:
--- a/tests/integration/forwarding_soak.py
+++ b/tests/integration/forwarding_soak.py
@@ -421,7 +421,7 @@
     def check_word(self, name, worker, told: dict[str, Told]) -> None:
         """Finds what came to a worker whose answers had said it leaves."""
         heard: dict[tuple[str, str], float] = {}
-        for request, instance in worker.told_leaving.items():
+        for request, instance in worker.announced_leaving.items():
             one = told.get(request)
             if one is None or not one.status:
                 continue
@@ -446,7 +446,7 @@
             for at, request, _ in worker.arrived
             if request in told
         ]
-        for at, request, seconds in worker.turned_away:
+        for at, request, seconds in worker.rejected:
             if request not in told:
                 continue
             router = told[request].router
@@ -743,9 +743,9 @@
     count = world.rng.randint(1, len(world.workers))
     for name in world.rng.sample(sorted(world.workers), count):
         worker = world.workers[name]
-        worker.pause = world.rng.choice((1.0, 1.5, 3.0))
+        worker.retry_after_seconds = world.rng.choice((1.0, 1.5, 3.0))
         seconds = world.rng.uniform(0.2, 4.0)
-        worker.away_until = trio.current_time() + seconds
+        worker.rejects_until = trio.current_time() + seconds
     await trio.sleep(1.0)
 
 
--- a/tests/integration/test_integration_forwarding_soak.py
+++ b/tests/integration/test_integration_forwarding_soak.py
@@ -42,7 +42,7 @@
 
 def ran(world, request, at=10.0, worker='i-d1'):
     headers = {'lavenderbend-request-id': request}
-    asked = standins.Asked('POST', '/desk/send', headers, b'')
+    asked = standins.ReceivedRequest('POST', '/desk/send', headers, b'')
     world.workers[worker].ran.append(asked)
     world.workers[worker].ran_at.append(at)
 
@@ -135,7 +135,7 @@
     ],
 )
 def test_request_after_an_answer_s_word_is_found(world, sent, router, found):
-    world.workers['i-e1'].told_leaving = {'r1': 'i-e1'}
+    world.workers['i-e1'].announced_leaving = {'r1': 'i-e1'}
     arrived(world, 'r1', 10.0, 9.9)
     arrived(world, 'r2', 13.0, sent, router)
     world.check()
@@ -152,7 +152,7 @@
 )
 def test_requests_within_the_pause_asked_for_are_found(world, times, found):
     arrived(world, 'r1', 10.0, 9.9, status=503)
-    world.workers['i-e1'].turned_away = [(10.0, 'r1', 1.0)]
+    world.workers['i-e1'].rejected = [(10.0, 'r1', 1.0)]
     for number, at in enumerate(times, 2):
         arrived(world, f'r{number}', at, at - 0.1)
     arrived(world, 'r99', 11.1, 11.0)
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -1,4 +1,4 @@
-"""Small servers that speak what the users' platform and its workers speak."""
+"""Stand-ins for the metadata store and workers of the users' platform."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 
 @attrs.frozen
-class Asked:
-    """One request that a stand-in has read.
+class ReceivedRequest:
+    """A request that a stand-in has received.
 
     Attributes:
         method: HTTP method.
@@ -35,17 +35,17 @@
     """An HTTP/1.1 server on loopback.
 
     Attributes:
-        host: Where it listens.
-        port: Bound port.
-        connections: Connections accepted.
-        asked: All requests read.
+        host: Address at which it listens.
+        port: Port at which it listens.
+        connections: Number of accepted connections.
+        received: All requests received.
     """
 
     def __init__(self):
         self.host = HOST
         self.port = 0
         self.connections = 0
-        self.asked = []
+        self.received = []
 
     async def serve(self, task_status=trio.TASK_STATUS_IGNORED):
         listeners = await trio.open_tcp_listeners(self.port, host=self.host)
@@ -58,9 +58,9 @@
         self.connections += 1
         protocol = h11.Connection(h11.SERVER)
         try:
-            while asked := await read(stream, protocol):
-                self.asked.append(asked)
-                await self.answer(asked, stream, protocol)
+            while request := await read(stream, protocol):
+                self.received.append(request)
+                await self.answer(request, stream, protocol)
                 if protocol.states != {
                     h11.CLIENT: h11.DONE,
                     h11.SERVER: h11.DONE,
@@ -74,12 +74,12 @@
         finally:
             stream.socket.close()
 
-    async def answer(self, asked, stream, protocol):
+    async def answer(self, request, stream, protocol):
         raise NotImplementedError
 
 
 async def read(stream, protocol):
-    """Returns the next request, None at the end."""
+    """Returns the next request, None at the end of the connection."""
     head = None
     body = b''
     while True:
@@ -92,7 +92,7 @@
             body += bytes(event.data)
         elif isinstance(event, h11.EndOfMessage):
             headers = {k.decode(): v.decode() for k, v in head.headers}
-            return Asked(
+            return ReceivedRequest(
                 head.method.decode(), head.target.decode(), headers, body
             )
         elif isinstance(event, h11.ConnectionClosed):
@@ -100,7 +100,7 @@
 
 
 def encode(protocol, status, headers, body):
-    """Returns the bytes of an answer."""
+    """Returns the bytes of a response."""
     data = protocol.send(
         h11.Response(
             status_code=status,
@@ -112,16 +112,16 @@
 
 
 class Store(HttpStandin):
-    """The platform's metadata store, as far as routers read it.
+    """The calls of the platform's metadata store that routers use.
 
     Attributes:
         items: Value and revision by key.
-        fault: How it misbehaves: '', 'busy', 'many', 'reset', 'silent',
-            'torn' (an answer that is no page).
-        page: Items of one page at most.
-        history: Changes that watches are told.
-        deaf: Whether watches hear nothing.
-        forgotten: Revision up to which the history is gone.
+        fault: Fault to simulate: '', 'busy', 'many', 'reset', 'silent',
+            'torn' (an incomplete page).
+        page_size: Maximum number of items on a page.
+        history: Changes that watches report.
+        watches_silent: Whether watches report no changes.
+        compacted_revision: Revision up to which the history is discarded.
     """
 
     def __init__(self):
@@ -129,10 +129,10 @@
         self.items = {}
         self.revision = 1
         self.fault = ''
-        self.page = 500
+        self.page_size = 500
         self.history = []
-        self.deaf = False
-        self.forgotten = 0
+        self.watches_silent = False
+        self.compacted_revision = 0
 
     def put(self, key, value):
         self.revision += 1
@@ -142,16 +142,16 @@
     def remove(self, key):
         self.revision += 1
         del self.items[key]
-        gone = {'key': key, 'rev': self.revision, 'deleted': True}
-        self.history.append((self.revision, gone))
+        removal = {'key': key, 'rev': self.revision, 'deleted': True}
+        self.history.append((self.revision, removal))
 
-    async def answer(self, asked, stream, protocol):
+    async def answer(self, request, stream, protocol):
         if self.fault == 'silent':
             await trio.sleep_forever()
         if self.fault == 'reset':
             stream.socket.close()
             return
-        status, value = self.told(asked.target)
+        status, value = self.response(request.target)
         if self.fault == 'torn':
             value['items'][-1].pop('rev')
         elif self.fault:
@@ -160,8 +160,8 @@
         headers = [('content-type', 'application/json')]
         await stream.send_all(encode(protocol, status, headers, body))
 
-    def told(self, target):
-        """Returns status and value of an answer."""
+    def response(self, target):
+        """Returns status and content of a response."""
         url = parse.urlsplit(target)
         query = dict(parse.parse_qsl(url.query))
         if url.path == '/lavenderbend/kv-watch':
@@ -171,10 +171,10 @@
 
     def watch(self, query):
         after = int(query['after'])
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             return 410, {}
-        events = [event for at, event in self.history if at > after]
-        if self.deaf:
+        events = [event for revision, event in self.history if revision > after]
+        if self.watches_silent:
             events = []
         return 200, {'events': events, 'storeRevision': self.revision}
 
@@ -184,8 +184,8 @@
             key for key in self.items if key.startswith(prefix) and key > after
         )
         return {
-            'items': [self.item(key) for key in keys[: self.page]],
-            'hasMore': len(keys) > self.page,
+            'items': [self.item(key) for key in keys[: self.page_size]],
+            'hasMore': len(keys) > self.page_size,
             'storeRevision': self.revision,
         }
 
@@ -248,17 +248,19 @@
     Attributes:
         instance: Its id.
         service: Its service.
-        plans: What it does with its next requests, by name of a method; then
-            it answers well.
-        events: Events of its streams.
-        gap: Seconds between them.
-        leaving: Whether its answers say that it leaves.
-        pause: Seconds for which it asks those that it turns away.
-        away_until: Clock until which it turns all away.
-        arrived: When each request came, its id, and the instance by then.
-        told_leaving: Ids of requests whose answers said that it leaves, and
-            the instance that said so.
-        turned_away: When it turned which request away, and for how long.
+        plans: Names of the methods that handle its next requests; further
+            requests are handled by `well`.
+        events: Number of events in its streams.
+        gap: Seconds between events.
+        leaving: Whether its responses announce that it is leaving.
+        retry_after_seconds: Value of `Retry-After` in rejections.
+        rejects_until: Time until which it rejects all requests.
+        ran: The requests that it ran.
+        ran_at: Time at which it ran each.
+        arrived: Time, request id and instance for each received request.
+        announced_leaving: Ids of requests whose responses announced that it
+            is leaving, and the instance that announced it.
+        rejected: Time, request id and `Retry-After` of each rejection.
     """
 
     def __init__(self, instance, service):
@@ -269,16 +271,16 @@
         self.events = 5
         self.gap = 0.0
         self.leaving = False
-        self.pause = 0.0
-        self.away_until = 0.0
+        self.retry_after_seconds = 0.0
+        self.rejects_until = 0.0
         self.ran = []
         self.ran_at = []
         self.arrived = []
-        self.told_leaving = {}
-        self.turned_away = []
+        self.announced_leaving = {}
+        self.rejected = []
 
-    def note_run(self, asked):
-        self.ran.append(asked)
+    def note_run(self, request):
+        self.ran.append(request)
         self.ran_at.append(trio.current_time())
 
     def entry(self, state='ready'):
@@ -293,47 +295,47 @@
             'seqNo': 1,
         }
 
-    def headers(self, asked):
+    def headers(self, request):
         return [
-            *self.unsigned(asked),
+            *self.unsigned_headers(request),
             ('lavenderbend-response-signature', f'sig.{self.instance}'),
             ('lavenderbend-server-load', '1,0,8'),
         ]
 
-    def unsigned(self, asked):
-        request = asked.headers['lavenderbend-request-id']
-        found = [('lavenderbend-request-id', request)]
+    def unsigned_headers(self, request):
+        request_id = request.headers['lavenderbend-request-id']
+        headers = [('lavenderbend-request-id', request_id)]
         if self.leaving:
-            self.told_leaving[request] = self.instance
-            found.append(('server-leaving', '1'))
-        return found
+            self.announced_leaving[request_id] = self.instance
+            headers.append(('server-leaving', '1'))
+        return headers
 
-    async def answer(self, asked, stream, protocol):
+    async def answer(self, request, stream, protocol):
         now = trio.current_time()
-        request = asked.headers['lavenderbend-request-id']
-        self.arrived.append((now, request, self.instance))
-        if now < self.away_until:
-            self.turned_away.append((now, request, self.pause))
-            await self.turns_away(asked, stream, protocol)
+        request_id = request.headers['lavenderbend-request-id']
+        self.arrived.append((now, request_id, self.instance))
+        if now < self.rejects_until:
+            self.rejected.append((now, request_id, self.retry_after_seconds))
+            await self.rejects(request, stream, protocol)
             return
         plan = self.plans.pop(0) if self.plans else 'well'
-        await getattr(self, plan)(asked, stream, protocol)
+        await getattr(self, plan)(request, stream, protocol)
 
-    async def well(self, asked, stream, protocol):
-        if asked.headers['lavenderbend-expect-instance'] != self.instance:
+    async def well(self, request, stream, protocol):
+        if request.headers['lavenderbend-expect-instance'] != self.instance:
             await stream.send_all(encode(protocol, 421, [], b''))
             return
-        self.note_run(asked)
+        self.note_run(request)
         if self.service == 'engines':
-            await self.events_from(asked, stream, protocol, self.events)
+            await self.events_from(request, stream, protocol, self.events)
             return
-        body = b'did ' + asked.target.encode()
-        data = encode(protocol, 200, self.headers(asked), body)
+        body = b'did ' + request.target.encode()
+        data = encode(protocol, 200, self.headers(request), body)
         await stream.send_all(data)
 
-    async def events_from(self, asked, stream, protocol, until):
-        first = int(asked.headers.get('last-event-id', 0)) + 1
-        head = [*self.headers(asked), ('content-type', 'text/event-stream')]
+    async def events_from(self, request, stream, protocol, until):
+        first = int(request.headers.get('last-event-id', 0)) + 1
+        head = [*self.headers(request), ('content-type', 'text/event-stream')]
         await stream.send_all(
             protocol.send(h11.Response(status_code=200, headers=head))
         )
@@ -344,62 +346,65 @@
         if until == self.events:
             await stream.send_all(protocol.send(h11.EndOfMessage()))
 
-    async def breaks_off(self, asked, stream, protocol):
-        self.note_run(asked)
-        await self.events_from(asked, stream, protocol, 2)
+    async def breaks_off(self, request, stream, protocol):
+        self.note_run(request)
+        await self.events_from(request, stream, protocol, 2)
         await stream.send_all(protocol.send(h11.Data(data=b'id: 3\nda')))
         stream.socket.close()
 
-    async def falls_silent(self, asked, stream, protocol):
-        self.note_run(asked)
-        await self.events_from(asked, stream, protocol, 2)
+    async def falls_silent(self, request, stream, protocol):
+        self.note_run(request)
+        await self.events_from(request, stream, protocol, 2)
         await trio.sleep_forever()
 
-    async def full(self, asked, stream, protocol):
-        headers = [*self.unsigned(asked), ('lavenderbend-not-executed', '1')]
+    async def full(self, request, stream, protocol):
+        headers = [
+            *self.unsigned_headers(request),
+            ('lavenderbend-not-executed', '1'),
+        ]
         await stream.send_all(encode(protocol, 503, headers, b''))
 
-    async def turns_away(self, asked, stream, protocol):
+    async def rejects(self, request, stream, protocol):
         headers = [
-            *self.unsigned(asked),
+            *self.unsigned_headers(request),
             ('lavenderbend-not-executed', '1'),
-            ('retry-after', f'{self.pause:g}'),
+            ('retry-after', f'{self.retry_after_seconds:g}'),
         ]
         await stream.send_all(encode(protocol, 503, headers, b''))
 
-    async def resets(self, asked, stream, protocol):
-        self.note_run(asked)
+    async def resets(self, request, stream, protocol):
+        self.note_run(request)
         stream.socket.close()
 
-    async def hangs(self, asked, stream, protocol):
-        self.note_run(asked)
+    async def hangs(self, request, stream, protocol):
+        self.note_run(request)
         await trio.sleep_forever()
 
-    async def twice(self, asked, stream, protocol):
-        self.note_run(asked)
-        data = encode(protocol, 200, self.headers(asked), b'did it')
+    async def twice(self, request, stream, protocol):
+        self.note_run(request)
+        data = encode(protocol, 200, self.headers(request), b'did it')
         await stream.send_all(data + data)
 
-    async def late_second(self, asked, stream, protocol):
-        """Answers; a second answer comes where the next one is due."""
-        self.note_run(asked)
-        data = encode(protocol, 200, self.headers(asked), b'the first')
+    async def late_second(self, request, stream, protocol):
+        """Responds, and sends a second response before that to the next."""
+        self.note_run(request)
+        data = encode(protocol, 200, self.headers(request), b'the first')
         await stream.send_all(data)
         self.late = data
         self.plans.insert(0, 'stray_then_well')
 
-    async def stray_then_well(self, asked, stream, protocol):
+    async def stray_then_well(self, request, stream, protocol):
         await stream.send_all(self.late)
-        await self.well(asked, stream, protocol)
+        await self.well(request, stream, protocol)
 
-    async def unframed(self, asked, stream, protocol):
-        self.note_run(asked)
-        lines = [f'{k}: {v}' for k, v in self.headers(asked)]
+    async def unframed(self, request, stream, protocol):
+        self.note_run(request)
+        lines = [f'{k}: {v}' for k, v in self.headers(request)]
         head = '\r\n'.join(['HTTP/1.1 200 OK', *lines, '', ''])
         await stream.send_all(head.encode() + b'whole to the end')
         stream.socket.close()
 
-    async def no_http(self, asked, stream, protocol):
-        self.note_run(asked)
+    async def no_http(self, request, stream, protocol):
+        self.note_run(request)
         await stream.send_all(b'\x00\x01 garbage\r\n\r\n')
         stream.socket.close()
--- a/tests/test_platform/test_platform_entries.py
+++ b/tests/test_platform/test_platform_entries.py
@@ -1,4 +1,4 @@
-"""Entries of upstreams in the platform's store, sound and not."""
+"""Tests of the decoding of valid and invalid entries of upstreams."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
     'seqNo': 4,
     'born': 1_796_256_000_000,
 }
-SOUND = orjson.dumps({**ENTRY, 'address': '10.0.0.2:8080'})
+VALID = orjson.dumps({**ENTRY, 'address': '10.0.0.2:8080'})
 
 
 def decode(*values, before=None):
-    """Returns the snapshot of entries s0, s1, ... and what was decoded."""
+    """Returns the snapshot of entries s0, s1, ... and the decoded items."""
     items = {
         f'servers/s{number}': forwarding.RawItem(number + 1, value)
         for number, value in enumerate(values)
@@ -40,7 +40,7 @@
 
 
 def decode_raw(raw, before=None):
-    """Returns the snapshot of a read and what was decoded."""
+    """Returns the snapshot of a read and the decoded items."""
     decoded = snapshot_decoding.decode_items(
         raw, before or {}, configuration_document.TableDecoder()
     )
@@ -48,24 +48,29 @@
 
 
 def names(snapshot):
-    return sorted(one.vm.id for one in snapshot.upstreams.values())
+    return sorted(upstream.vm.id for upstream in snapshot.upstreams.values())
 
 
-def test_sound_entry_is_an_upstream():
+def test_valid_entry_is_decoded_as_an_upstream():
     snapshot, _ = decode(orjson.dumps({**ENTRY, 'more': [1]}))
-    (found,) = snapshot.upstreams.values()
-    assert (found.vm.id, found.vm.host, found.vm.port, found.slots) == (
+    (upstream,) = snapshot.upstreams.values()
+    assert (
+        upstream.vm.id,
+        upstream.vm.host,
+        upstream.vm.port,
+        upstream.slots,
+    ) == (
         's0',
         '10.0.0.1',
         8080,
         64,
     )
-    assert found.vm.state is upstreams.VmState.LIVE
+    assert upstream.vm.state is upstreams.VmState.LIVE
 
 
 def test_later_start_under_the_same_id_is_another_upstream():
-    # An engine dies and starts again under its id within two reads. Its load,
-    # health and cached chats were taken for the new process's.
+    # An engine crashes and restarts with the same id between two reads. Load,
+    # health and cached chats of the old process were attributed to the new one.
     before, _ = decode(orjson.dumps(ENTRY))
     later, _ = decode(orjson.dumps({**ENTRY, 'born': ENTRY['born'] + 9}))
     same, _ = decode(orjson.dumps({**ENTRY, 'seqNo': 5}))
@@ -75,20 +80,20 @@
 
 
 @pytest.mark.parametrize('field', sorted(set(ENTRY) - {'born'}))
-def test_entry_without_a_field_names_no_upstream(field):
+def test_entry_without_a_field_is_ignored(field):
     broken = {name: ENTRY[name] for name in ENTRY if name != field}
-    snapshot, _ = decode(orjson.dumps(broken), SOUND)
+    snapshot, _ = decode(orjson.dumps(broken), VALID)
     assert names(snapshot) == ['s1']
 
 
 @pytest.mark.parametrize('field', sorted(ENTRY))
 @pytest.mark.parametrize('value', [True, [], {}, [1], None, 'x', '', -1.5, '7'])
-def test_field_of_another_type_names_no_upstream(field, value):
+def test_entry_with_a_field_of_another_type_is_ignored(field, value):
     if isinstance(ENTRY[field], str) and isinstance(value, str):
         value = 3
     if field in ('coldLeftMs', 'born') and value in (-1.5, None):
         value = 'x'
-    snapshot, _ = decode(orjson.dumps({**ENTRY, field: value}), SOUND)
+    snapshot, _ = decode(orjson.dumps({**ENTRY, field: value}), VALID)
     assert names(snapshot) == ['s1']
 
 
@@ -106,16 +111,16 @@
         ('slots', -4),
     ],
 )
-def test_value_that_means_nothing_names_no_upstream(field, value):
-    snapshot, _ = decode(orjson.dumps({**ENTRY, field: value}), SOUND)
+def test_entry_with_an_invalid_value_is_ignored(field, value):
+    snapshot, _ = decode(orjson.dumps({**ENTRY, field: value}), VALID)
     assert names(snapshot) == ['s1']
 
 
 @pytest.mark.parametrize('name', ['', 'a\r\nx-rank: 0', 'ñ', 'a b', 'x' * 300])
-def test_id_that_cannot_go_into_a_header_names_no_upstream(name):
+def test_entry_with_an_id_invalid_in_headers_is_ignored(name):
     items = {
-        f'servers/{name}': forwarding.RawItem(1, SOUND),
-        'servers/s1': forwarding.RawItem(2, SOUND),
+        f'servers/{name}': forwarding.RawItem(1, VALID),
+        'servers/s1': forwarding.RawItem(2, VALID),
     }
     raw = forwarding.RawSnapshot(9, items)
     snapshot, _ = decode_raw(raw)
@@ -127,7 +132,7 @@
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-# sound entries with some fields replaced or taken away, and anything else
+# Valid entries with some fields replaced or removed, and arbitrary bytes.
 mutated = st.tuples(
     st.dictionaries(st.sampled_from(sorted(ENTRY)), json_values),
     st.sets(st.sampled_from(sorted(ENTRY))),
@@ -140,14 +145,14 @@
         }
     )
 )
-anything = st.binary() | json_values.map(orjson.dumps) | mutated
+arbitrary = st.binary() | json_values.map(orjson.dumps) | mutated
 
 
-@given(st.lists(anything, max_size=4))
-def test_no_entry_of_another_writer_stops_the_others(values):
-    # One entry that could not be read stopped the whole store from being
-    # followed: every router kept its old configuration and upstreams.
-    snapshot, _ = decode(*values, SOUND)
+@given(st.lists(arbitrary, max_size=4))
+def test_invalid_entry_does_not_affect_the_others(values):
+    # One entry that could not be decoded made the whole snapshot unusable:
+    # every router kept its outdated configuration and upstreams.
+    snapshot, _ = decode(*values, VALID)
     assert f's{len(values)}' in names(snapshot)
     for upstream in snapshot.upstreams.values():
         assert isinstance(upstream.slots, int)
@@ -158,7 +163,7 @@
 
 
 @pytest.mark.parametrize('value', [5, None, 'abc', '*'])
-def test_value_that_is_no_base64_costs_no_other_item(value):
+def test_value_that_is_not_base64_does_not_affect_other_items(value):
     page = store_answers.decode_page(
         {
             'items': [
@@ -166,7 +171,7 @@
                 {
                     'key': 'servers/s1',
                     'rev': 2,
-                    'value': base64.b64encode(SOUND).decode(),
+                    'value': base64.b64encode(VALID).decode(),
                 },
             ],
             'hasMore': False,
@@ -178,8 +183,9 @@
     assert names(snapshot) == ['s1']
 
 
-def test_id_of_another_writer_passes_for_no_start():
-    # an entry under ID/START took the place of the start of that name
+def test_id_with_a_slash_does_not_replace_another_instance():
+    # An entry with the key ID/START replaced the upstream with that instance
+    # id.
     items = {
         'servers/s0': forwarding.RawItem(1, orjson.dumps(ENTRY)),
         f'servers/s0/{ENTRY["born"]}': forwarding.RawItem(
@@ -188,16 +194,16 @@
     }
     raw = forwarding.RawSnapshot(9, items)
     snapshot, _ = decode_raw(raw)
-    (found,) = snapshot.upstreams.values()
-    assert found.vm.host == '10.0.0.1'
+    (upstream,) = snapshot.upstreams.values()
+    assert upstream.vm.host == '10.0.0.1'
 
 
-def test_unreadable_entry_is_told_once_for_each_change(monkeypatch):
-    told = []
+def test_invalid_entry_is_logged_once_for_each_change(monkeypatch):
+    logged = []
     monkeypatch.setattr(
-        logs, 'change', lambda kind, **fields: told.append((kind, fields))
+        logs, 'change', lambda kind, **fields: logged.append((kind, fields))
     )
-    _, decoded = decode(b'{', SOUND)
-    _, decoded = decode(b'{', SOUND, before=decoded)
-    assert [kind for kind, _ in told] == ['entry_unreadable']
-    assert 'servers/s0' in told[0][1]['cause']
+    _, decoded = decode(b'{', VALID)
+    _, decoded = decode(b'{', VALID, before=decoded)
+    assert [kind for kind, _ in logged] == ['entry_unreadable']
+    assert 'servers/s0' in logged[0][1]['cause']
--- a/tests/test_platform/test_platform_store.py
+++ b/tests/test_platform/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The platform's store as routers read it, and what lies in it."""
+"""Tests of the client of the platform's store and of the decoded content."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from tests import platform_standins as standins
 
 PACKAGE = pathlib.Path(__file__).parents[2] / 'lavenderbend'
-# words of the platform that no other module may know
+# Names of the platform that must not occur outside its package.
 PLATFORM_WORDS = re.compile(
     r'lavenderbend/(ready|kv-|report)|lavenderbend-(request|response|server|'
     r'prompt|token|tenant|expect|not-exec)|pathPrefix|storeRevision|'
@@ -47,7 +47,7 @@
 
 async def test_one_call_reads_configuration_and_upstreams(store, client):
     snapshot = client.decode(await client.read())
-    assert len(store.asked) == 1
+    assert len(store.received) == 1
     assert snapshot.revision == store.revision
     assert snapshot.table.version == 1
     assert snapshot.upstreams['i-1'].vm.port == 4000
@@ -55,9 +55,7 @@
     assert snapshot.upstreams['i-2'].vm.state is upstreams.VmState.LEAVING
 
 
-async def test_routes_become_rules_in_the_order_of_their_prefixes(
-    store, client
-):
+async def test_rules_are_ordered_by_prefix_length(store, client):
     table = client.decode(await client.read()).table
     assert [rule.name for rule in table.rules][0] == 'look'
     by_name = {rule.name: rule.then for rule in table.rules}
@@ -70,8 +68,9 @@
     assert table.limits.header_seconds == 1.0
 
 
-async def test_routes_that_stay_are_the_same_rules(store, client):
-    # guards against a version that stops a router for as long as it has routes
+async def test_unchanged_routes_keep_their_rules(store, client):
+    # Guards against a new version that blocks the router while all routes are
+    # decoded again.
     first = client.decode(await client.read()).table
     routes = standins.configuration()['routes']
     routes[0]['timeoutMs'] = 7000
@@ -83,8 +82,8 @@
     assert second.rules[0].then.timeout == 7.0
 
 
-async def test_kind_alone_says_what_may_be_repeated(store, client):
-    # a route's name or its `sticky` says nothing of it
+async def test_only_the_kind_determines_what_may_be_retried(store, client):
+    # A route's name and its `sticky` flag have no influence.
     routes = [
         standins.route('safe-read', '/a/', 'desk', 'non_idempotent'),
         standins.route('once', '/b/', 'desk', 'streaming'),
@@ -95,9 +94,9 @@
 
 
 async def test_large_store_is_read_page_by_page(store, client):
-    store.page = 1
+    store.page_size = 1
     snapshot = client.decode(await client.read())
-    assert len(store.asked) == 3
+    assert len(store.received) == 3
     assert sorted(snapshot.upstreams) == ['i-1', 'i-2']
 
 
@@ -110,22 +109,22 @@
 
 
 async def read_after(store, client, change):
-    """Returns the snapshot after a change, and the calls that it took."""
+    """Returns the snapshot after a change, and the calls to read it."""
     store.put('op/config', large_configuration(2))
-    known = await client.read()
+    previous = await client.read()
     change()
-    store.asked.clear()
-    raw = await store_reads.read_changes(client, known)
-    calls = [asked.target for asked in store.asked]
-    whole = await client.read()
-    assert (raw, raw.digest) == (whole, whole.digest)
+    store.received.clear()
+    raw = await store_reads.read_changes(client, previous)
+    calls = [request.target for request in store.received]
+    full = await client.read()
+    assert (raw, raw.digest) == (full, full.digest)
     return client.decode(raw), calls
 
 
-async def test_large_store_that_stands_is_not_read_again(store, client):
+async def test_unchanged_large_store_is_not_read_again(store, client):
     # A configuration of 400 routes is in force, and a router's link is slow.
-    # Each read held the link for a tenth of a second, and the events of all
-    # its streams came late. Nothing has changed, and the revision says so.
+    # Each full read occupied the link for a tenth of a second and delayed the
+    # events of all streams, although the revision showed that nothing changed.
     snapshot, calls = await read_after(store, client, lambda: None)
     assert len(calls) == 1
     assert 'none' in calls[0]
@@ -145,49 +144,58 @@
         ],
     ],
 )
-async def test_large_store_is_read_by_its_changes(store, client, change):
+async def test_only_the_changes_of_a_large_store_are_read(
+    store, client, change
+):
     _, calls = await read_after(store, client, lambda: change(store))
     assert len(calls) == 2
 
 
-def deafen(store):
+def silence_watches(store):
     store.put('op/config', large_configuration(3))
-    store.deaf = True
+    store.watches_silent = True
 
 
-def lose_one(store):
+def lose_change(store):
     store.remove('servers/i-2')
     store.put('servers/i-1', standins.Worker('i-1', 'x').entry())
     del store.history[-2]
 
 
-def forget(store):
+def compact_history(store):
     store.remove('servers/i-2')
-    store.forgotten = store.revision
+    store.compacted_revision = store.revision
 
 
-@pytest.mark.parametrize('change', [deafen, lose_one, forget])
-async def test_changes_that_a_watch_does_not_tell_are_read(
+@pytest.mark.parametrize(
+    'change',
+    [
+        pytest.param(silence_watches, id='deafen'),
+        pytest.param(lose_change, id='lose_one'),
+        pytest.param(compact_history, id='forget'),
+    ],
+)
+async def test_changes_that_a_watch_does_not_report_are_read(
     store, client, change
 ):
-    # A credential is taken away while the store's watches hear nothing. A
-    # router that took the quiet for proof would go on serving it.
+    # A credential is revoked while the store's watches report no changes. A
+    # router that relied on the watch would continue to accept it.
     _, calls = await read_after(store, client, lambda: change(store))
     assert len(calls) == 3
 
 
-async def test_change_behind_the_one_that_is_proved_is_left_for_the_next_read(
+async def test_change_after_the_proved_revision_is_left_for_the_next_read(
     store, client
 ):
-    # Between the two calls two changes come, of which the watch hears only
-    # the later. Were it taken over, the snapshot would bear a revision at
-    # which the store held something else.
+    # Between the two calls there are two changes, of which the watch reports
+    # only the later. If that were applied, the snapshot would have a revision
+    # at which the content of the store was different.
     store.put('op/config', large_configuration(2))
-    known = await client.read()
+    previous = await client.read()
     store.put('servers/i-1', standins.Worker('i-1', 'x').entry())
     proved = store.revision
     changes = store_answers.decode_changes(
-        known.revision,
+        previous.revision,
         {
             'events': [
                 {**store.item('servers/i-1')},
@@ -196,22 +204,22 @@
         },
     )
     assert changes.complete_to(proved)
-    raw = changes.applied_to(known, proved)
+    raw = changes.applied_to(previous, proved)
     assert raw.revision == proved
     assert 'servers/i-2' in raw.items
 
 
 async def test_small_configuration_is_read_in_one_call(store, client):
-    known = await client.read()
-    store.asked.clear()
-    await store_reads.read_changes(client, known)
-    assert len(store.asked) == 1
+    previous = await client.read()
+    store.received.clear()
+    await store_reads.read_changes(client, previous)
+    assert len(store.received) == 1
 
 
 async def test_store_of_too_many_pages_is_not_read_in_part(store, client):
-    # Upstreams on the pages that were not read would pass for gone: their
-    # service would get no requests, and nothing would say why.
-    store.page = 1
+    # Upstreams on pages that were not read would be treated as removed: their
+    # service would get no requests, without any error.
+    store.page_size = 1
     for number in range(platform_store.MAX_PAGES):
         store.put(f'servers/more-{number}', standins.Worker('m', 'x').entry())
     with pytest.raises(errors.KeyValueUnavailable, match='pages'):
@@ -228,7 +236,7 @@
 
 
 @pytest.mark.parametrize('fault', ['busy', 'many', 'reset', 'silent', 'torn'])
-async def test_store_that_fails_is_a_typed_error_and_regained(
+async def test_failing_store_raises_a_typed_error_and_recovers(
     store, client, fault
 ):
     await client.read()
@@ -246,30 +254,30 @@
         ('op/config', [], 'op/config'),
     ],
 )
-async def test_unreadable_value_is_named(store, client, key, value, named):
+async def test_error_names_the_invalid_field(store, client, key, value, named):
     store.put(key, value)
     raw = await client.read()
     with pytest.raises(errors.CodecError, match=named):
         client.decode(raw)
 
 
-def test_no_other_module_knows_a_name_of_the_platform():
-    found = [
+def test_names_of_the_platform_occur_only_in_its_package():
+    occurrences = [
         (str(path), match.group())
         for path in PACKAGE.rglob('*.py')
         if path.parent.name != 'platform'
         for match in PLATFORM_WORDS.finditer(path.read_text())
     ]
-    assert found == []
+    assert occurrences == []
 
 
 @pytest.mark.parametrize('credentials', ['llave-1', [['llave-1']], [1], {}])
-async def test_credentials_that_are_no_texts_are_named(
+async def test_credentials_of_another_type_are_named_in_the_error(
     store, client, credentials
 ):
-    # An operator writes a credential in another form. The version came into
-    # force, and each request met a fault; a single text was taken apart, so
-    # that each of its letters was a credential.
+    # An operator writes credentials in another form. The version came into
+    # force and each request failed; a single string was split, so that each of
+    # its characters was a credential.
     tenants = [{'name': 'corte', 'apiKeys': credentials}]
     store.put('op/config', standins.configuration(tenants=tenants))
     raw = await client.read()
@@ -278,11 +286,10 @@
 
 
 @pytest.mark.parametrize('events', [['x'], [None], [[]], 'x', {}, None, [1]])
-async def test_changes_of_another_type_are_an_error_that_can_be_told(
-    client, events
-):
-    # What the store told of a change is no object. The error had no type that
-    # the reader of the store knows, and ended the router with all its callers.
+async def test_changes_of_another_type_raise_a_typed_error(client, events):
+    # A change in the store's response is not a JSON object. The error was not
+    # of a type that the reader of the store handles, and ended the router with
+    # the requests of all its callers.
     answer = http_calls.CallAnswer(200, orjson.dumps({'events': events}))
     with pytest.raises(errors.KeyValueUnavailable):
         client.decoded_answer(
--- a/tests/test_protocol/test_protocol_openai.py
+++ b/tests/test_protocol/test_protocol_openai.py
@@ -1,4 +1,4 @@
-"""Chat requests, chunks and chat keys."""
+"""Tests of chat requests, chunks and chat keys."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     return chat_keys.read_key(chat, headers or {})
 
 
-def test_key_stays_the_same_from_turn_to_turn():
-    # A thread comes back with its answer and a further question; with
-    # another key it would be sent to an engine that does not hold it.
+def test_key_is_the_same_in_each_turn_of_a_chat():
+    # A chat continues with the answer and a further question; with another
+    # key it would be sent to an engine that does not have it cached.
     first = key_of([SYSTEM, USER])
-    later = key_of([SYSTEM, USER, ANSWER, {'role': 'user', 'content': 'x'}])
-    assert first == later
+    second = key_of([SYSTEM, USER, ANSWER, {'role': 'user', 'content': 'x'}])
+    assert first == second
     other = key_of([SYSTEM, {'role': 'user', 'content': 'other'}])
     assert first != other
 
 
-def test_key_given_by_the_caller_goes_first():
+def test_key_given_by_the_caller_takes_precedence():
     headers = {chat_keys.HEADER: 'from header'}
     assert key_of([USER], headers) == 'from header'
     assert key_of([USER], headers, prompt_cache_key='own') == 'own'
     assert chat_keys.read_key(None, {}) is None
 
 
-def test_long_key_is_refused():
+def test_too_long_key_is_rejected():
     with pytest.raises(errors.RequestInvalid):
         key_of([USER], {chat_keys.HEADER: 'x' * 300})
 
@@ -63,23 +63,23 @@
         b'{"model": "m", "messages": [{"role": "user"}], "adapter": []}',
     ],
 )
-def test_bad_bodies_are_refused(data):
+def test_invalid_bodies_are_rejected(data):
     with pytest.raises(errors.RequestInvalid):
         openai.parse(data)
 
 
-def test_work_is_the_same_however_it_is_written():
-    # A prompt that crashes engines comes again, streamed and with other
-    # spaces; known by its bytes it would crash two more.
+def test_canonical_input_does_not_depend_on_formatting():
+    # A prompt that crashes engines is sent again, streamed and with other
+    # whitespace. Identified by its bytes, it would crash two more engines.
     first = body([SYSTEM, USER])
-    again = b' ' + body([SYSTEM, USER], stream=True, temperature=0.1)
-    assert openai.canonical_input(first) == openai.canonical_input(again)
+    reformatted = b' ' + body([SYSTEM, USER], stream=True, temperature=0.1)
+    assert openai.canonical_input(first) == openai.canonical_input(reformatted)
     assert openai.canonical_input(first) != openai.canonical_input(
         body([USER, SYSTEM])
     )
 
 
-def test_rewrite_replaces_only_what_is_given():
+def test_rewrite_replaces_only_given_fields():
     data = body([USER], stream=True)
     document = orjson.loads(openai.rewrite(data, 'new', None))
     assert document['model'] == 'new'
@@ -98,7 +98,7 @@
         return
 
 
-def test_continued_chunk_keeps_the_id_and_loses_known_text():
+def test_continued_chunk_has_the_earlier_id_and_no_repeated_text():
     data = orjson.dumps(
         {'id': 'b', 'choices': [{'delta': {'content': 'hello'}}]}
     )
@@ -106,7 +106,7 @@
     assert (chunk.id, chunk.text) == ('a', 'llo')
 
 
-def test_whole_answer_of_another_request_is_refused():
+def test_complete_answer_to_another_request_is_rejected():
     data = orjson.dumps({'id': 'chatcmpl-other', 'choices': [{}]})
     openai.check_complete(data, 'other')
     with pytest.raises(errors.AnswerMismatch):
--- a/tests/test_protocol/test_protocol_peer.py
+++ b/tests/test_protocol/test_protocol_peer.py
@@ -6,10 +6,10 @@
 from lavenderbend.protocol import peer
 
 
-def test_message_survives_the_wire():
-    item = peer.Failure('PoolFull', 'no room', 1.5)
+def test_decoded_message_equals_the_encoded_one():
+    message = peer.Failure('PoolFull', 'no room', 1.5)
 
-    assert peer.decode(peer.encode(item)) == item
+    assert peer.decode(peer.encode(message)) == message
 
 
 def test_unknown_tag_is_a_codec_error():
@@ -17,7 +17,7 @@
         peer.from_wire([99999])
 
 
-def test_fields_of_a_newer_peer_are_left_out():
+def test_additional_fields_of_a_newer_peer_are_ignored():
     values = [*peer.to_wire(peer.Failure('a', 'b')), 'new field']
 
     assert peer.from_wire(values) == peer.Failure('a', 'b')
--- a/tests/test_protocol/test_protocol_problems.py
+++ b/tests/test_protocol/test_protocol_problems.py
@@ -1,4 +1,4 @@
-"""Problem details and the error event."""
+"""Tests of problem details and of the error event."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize('error', ERRORS)
-def test_problem_says_what_the_caller_may_conclude(error):
+def test_problem_states_status_outcome_and_request(error):
     document = orjson.loads(problems.to_body(error, 'r1'))
     assert document['status'] == error.status
     assert document['outcome'] == error.outcome.value
@@ -26,15 +26,15 @@
     assert document['request_id'] == document['decision_id'] == 'r1'
 
 
-def test_retry_after_is_whole_seconds_and_never_too_early():
-    # A client that comes back before the time is refused once more.
+def test_retry_after_is_rounded_up_to_whole_seconds():
+    # A client that retries before the time is rejected again.
     headers = problems.to_headers(errors.PoolFull('full', 1.2), 'r1')
     assert headers['retry-after'] == '2'
     assert 'retry-after' not in problems.to_headers(ERRORS[1], 'r1')
 
 
 @pytest.mark.parametrize('error', ERRORS)
-def test_error_event_is_one_event(error):
+def test_error_event_is_parsed_as_one_event(error):
     raw = problems.to_event(error, 'r1')
     (event,) = sse.Parser(10_000).feed(raw)
     assert event.name == b'error'
--- a/tests/test_protocol/test_protocol_samples.py
+++ b/tests/test_protocol/test_protocol_samples.py
@@ -1,4 +1,4 @@
-"""Bytes that another build of the router must be able to read."""
+"""Tests that encodings stay compatible with other builds of the router."""
 
 from __future__ import annotations
 
@@ -327,7 +327,7 @@
         documents.Splice(section='rules', first=1, last=2, items=(b'item',)),
     ),
 )
-KNOWN = records_configuration.StoredRevision(
+REVISION = records_configuration.StoredRevision(
     number=0,
     document=documents.EMPTY,
     author='ana',
@@ -346,7 +346,7 @@
     '7096c4066368616e6765a3616e61a3776879cb4029000000000000a664696765737491'
     '94a572756c6573010291c4046974656d'
 )
-KNOWN_BYTES = (
+REVISION_BYTES = (
     '9600c40b789c9b32010800088902d5d940653632356566323937613861663666346533'
     '6561663765376566653930313432323130363439646531323236303032396235663435'
     '6161303532353139376661a3616e61a3776879cb4029000000000000'
@@ -361,44 +361,46 @@
 
 
 @pytest.mark.parametrize(
-    ('item', 'data'),
+    ('message', 'data'),
     [pytest.param(*row, id=str(row[0].tag)) for row in MESSAGES],
 )
-def test_message_has_the_bytes_of_earlier_builds(item, data):
-    # routers of two builds talk during a rolling restart
-    assert peer.encode(item).hex() == data
-    assert peer.decode(bytes.fromhex(data)) == item
+def test_message_has_the_bytes_of_earlier_builds(message, data):
+    # Routers of two builds communicate during a rolling restart.
+    assert peer.encode(message).hex() == data
+    assert peer.decode(bytes.fromhex(data)) == message
 
 
 def test_each_message_has_a_sample():
-    # other tests register messages of their own
+    # Other tests register messages of their own.
     tags = [
         tag
         for tag, cls in peer.MESSAGES.items()
         if cls.__module__.startswith('lavenderbend.')
     ]
-    assert sorted(tags) == [item.tag for item, _ in MESSAGES]
+    assert sorted(tags) == [message.tag for message, _ in MESSAGES]
 
 
 def test_claims_have_the_bytes_of_earlier_builds():
-    # a claim that a newer build cannot read could run twice
+    # If a newer build cannot decode a claim, the request could run twice.
     assert records_claims.encode(BATCH).hex() == BATCH_BYTES
     assert records_claims.decode(bytes.fromhex(BATCH_BYTES)) == BATCH
 
 
 def test_configuration_has_the_bytes_of_earlier_builds():
-    # a router that cannot read the log stays at an old configuration
+    # A router that cannot decode the log keeps an outdated configuration.
     assert records_configuration.encode(RECORD).hex() == RECORD_BYTES
     assert records_configuration.decode(bytes.fromhex(RECORD_BYTES)) == RECORD
-    assert records_configuration.encode_revision(KNOWN).hex() == KNOWN_BYTES
     assert (
-        records_configuration.decode_revision(bytes.fromhex(KNOWN_BYTES))
-        == KNOWN
+        records_configuration.encode_revision(REVISION).hex() == REVISION_BYTES
+    )
+    assert (
+        records_configuration.decode_revision(bytes.fromhex(REVISION_BYTES))
+        == REVISION
     )
 
 
 def test_order_memory_has_the_text_of_earlier_builds():
-    # a controller that cannot read it tries bad versions again
+    # A controller that cannot decode it tries failed versions again.
     store = memory.OrderMemory(None, 'key')
     store.note_good(TARGET)
     store.note_bad(TARGET)
--- a/tests/test_protocol/test_protocol_sse.py
+++ b/tests/test_protocol/test_protocol_sse.py
@@ -1,4 +1,4 @@
-"""The parser of server-sent events."""
+"""Tests of the parser and encoder of server-sent events."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     )
 
 
-def parse_pieces(data, cuts):
+def parse_in_pieces(data, cuts):
     parser = sse.Parser(1000)
     edges = [0, *sorted(cut % (len(data) + 1) for cut in cuts), len(data)]
     events = []
@@ -32,8 +32,8 @@
 
 @settings()
 @hypothesis.given(strategies.lists(strategies.integers(0, 200), max_size=8))
-def test_events_do_not_depend_on_where_the_bytes_are_cut(cuts):
-    events = parse_pieces(STREAM, cuts)
+def test_events_do_not_depend_on_how_the_bytes_are_split(cuts):
+    events = parse_in_pieces(STREAM, cuts)
     assert [event.data for event in events] == [
         b'one',
         b'',
@@ -47,9 +47,9 @@
 
 @settings()
 @hypothesis.given(strategies.lists(strategies.integers(0, 200), max_size=8))
-def test_line_ends_may_be_of_any_kind(cuts):
+def test_lines_may_end_with_cr_lf(cuts):
     data = STREAM.replace(b'\n', b'\r\n')
-    events = parse_pieces(data, cuts)
+    events = parse_in_pieces(data, cuts)
     assert [event.data for event in events][-2:] == [b'two\nmore', b'[DONE]']
 
 
@@ -65,16 +65,16 @@
         return
 
 
-def test_event_without_an_end_does_not_fill_the_memory():
-    # An upstream sends one line for ever: without the bound the router
-    # would hold all of it.
+def test_event_without_an_end_exceeds_the_size_limit():
+    # An upstream sends an endless line: without the limit the router would
+    # buffer all of it.
     parser = sse.Parser(1000)
     with pytest.raises(errors.UpstreamBroke):
         for _ in range(100):
             list(parser.feed(b'x' * 100))
 
 
-def test_encoded_event_is_read_back():
+def test_encoded_event_is_parsed_to_the_same_fields():
     raw = sse.encode(b'{}', 'error', 7)
     (event,) = sse.Parser(100).feed(raw)
     assert (event.data, event.name, event.offset) == (b'{}', b'error', 7)
