--- a/lavenderbend/coordination/admission/acquisition.py
+++ b/lavenderbend/coordination/admission/acquisition.py
@@ -225,7 +225,7 @@
         self, answer: peer.Message | None, owner: str, group: groups.GroupId
     ) -> interfaces.Permit | None:
         """Handles an answer; returns the permit if it grants one."""
-        if isinstance(answer, messages_decisions.PermitWaiting):
+        if isinstance(answer, messages_decisions.PermitQueued):
             self.queued = True
             return None
         if isinstance(answer, messages_decisions.PermitRedirect):
--- a/lavenderbend/coordination/admission/owner.py
+++ b/lavenderbend/coordination/admission/owner.py
@@ -162,7 +162,7 @@
         if waiter.redirect_group is not None or waiter.unserved:
             return messages_decisions.PermitRedirect(waiter.redirect_group)
         if waiter.choice is None:
-            return messages_decisions.PermitWaiting()
+            return messages_decisions.PermitQueued()
         return self.answer(waiter.choice)
 
     def answer(self, choice: placement.Choice) -> peer.Message:
--- a/lavenderbend/coordination/membership/message_handlers.py
+++ b/lavenderbend/coordination/membership/message_handlers.py
@@ -26,7 +26,7 @@
         self.fleet = fleet
         link = fleet.link
         link.handle(messages.Ping, self.on_ping)
-        link.handle(messages.PingThrough, self.on_ping_through)
+        link.handle(messages.IndirectPing, self.on_ping_through)
         link.handle(messages.SyncRequest, self.on_sync)
         link.handle(messages.Updates, self.on_updates)
         link.handle(messages.UpstreamProbe, self.on_upstream_probe)
@@ -40,7 +40,7 @@
         return messages.Ack(self.fleet.processor.updates_for(peer_id))
 
     async def on_ping_through(
-        self, peer_id: str, message: messages.PingThrough
+        self, peer_id: str, message: messages.IndirectPing
     ) -> messages.Ack:
         """Probes a router on behalf of another router.
 
--- a/lavenderbend/coordination/membership/probes.py
+++ b/lavenderbend/coordination/membership/probes.py
@@ -152,7 +152,7 @@
         nursery: trio.Nursery,
     ) -> None:
         """Asks another router to probe the target for this one."""
-        message = messages.PingThrough(
+        message = messages.IndirectPing(
             target, self.fleet.processor.updates_for(helper)
         )
         try:
--- a/lavenderbend/coordination/quarantine/quarantine.py
+++ b/lavenderbend/coordination/quarantine/quarantine.py
@@ -98,7 +98,7 @@
         self.unannounced: set[int] = set()
         self.notices_due = trio.Event()
         self.crash_recorded = trio.Event()
-        link.handle(messages_decisions.CrashSeen, self.on_crash)
+        link.handle(messages_decisions.CrashNotice, self.on_crash)
         link.handle(messages_decisions.Quarantined, self.on_quarantined)
         link.handle(messages_decisions.SuspectCleared, self.on_cleared)
 
@@ -255,7 +255,7 @@
 
     async def on_crash(self, router: str, message: peer.Message) -> None:
         """Records the requests of another router at a crash."""
-        assert isinstance(message, messages_decisions.CrashSeen)
+        assert isinstance(message, messages_decisions.CrashNotice)
         crash = crashes.Crash(message.upstream, message.instance)
         fresh = set(message.fresh)
         self.record_crash(
@@ -317,7 +317,7 @@
         notices: list[peer.Message] = []
         for crash, fingerprints in self.unsent_crashes.items():
             notices.append(
-                messages_decisions.CrashSeen(
+                messages_decisions.CrashNotice(
                     crash.upstream,
                     crash.instance,
                     sorted(fingerprints),
--- a/lavenderbend/platform/upstream_entries.py
+++ b/lavenderbend/platform/upstream_entries.py
@@ -43,7 +43,7 @@
     for field, types in UPSTREAM_FIELDS.items():
         field_types.check_type(field, value[field], types)
     if not UPSTREAM_ID.fullmatch(name):
-        raise ValueError('the id has characters invalid in a header')
+        raise ValueError('the id cannot be used in a header')
     host, _, port = value['address'].rpartition(':')
     ipaddress.IPv4Address(host)
     if not port.isascii() or not port.isdigit() or int(port) > MAX_PORT:
--- a/lavenderbend/protocol/messages_decisions.py
+++ b/lavenderbend/protocol/messages_decisions.py
@@ -84,7 +84,7 @@
 
 @peer.message(52)
 @attrs.frozen
-class PermitWaiting(peer.Message):
+class PermitQueued(peer.Message):
     """The request is queued at the owner; poll with the same number."""
 
 
@@ -247,7 +247,7 @@
 
 @peer.message(60)
 @attrs.frozen
-class CrashSeen(peer.Message):
+class CrashNotice(peer.Message):
     """Notice that an upstream crashed while it ran requests.
 
     Attributes:
--- a/lavenderbend/protocol/messages_membership.py
+++ b/lavenderbend/protocol/messages_membership.py
@@ -117,7 +117,7 @@
 
 @peer.message(84)
 @attrs.frozen
-class PingThrough(peer.Message):
+class IndirectPing(peer.Message):
     """Requests a peer to probe another; answered by `Ack` or `Failure`.
 
     Attributes:
--- a/lavenderbend/protocol/structuring.py
+++ b/lavenderbend/protocol/structuring.py
@@ -165,7 +165,7 @@
             # A string would otherwise become one entry for each character.
             if not isinstance(value, list):
                 raise units.Fault(
-                    f'{units.describe(value)} is no list', 'a list'
+                    f'{units.describe(value)} is not a list', 'a list'
                 )
             return tuple(self.structure(value, list[member]))
 
@@ -177,7 +177,9 @@
 
         def hook(value: Any, _: Any) -> Any:
             if not isinstance(value, dict):
-                raise units.Fault(f'{units.describe(value)} is no map', 'a map')
+                raise units.Fault(
+                    f'{units.describe(value)} is not a map', 'a map'
+                )
             return inner(value, cls)
 
         return hook
@@ -196,7 +198,7 @@
         def hook(value: Any, _: Any) -> Any:
             if not isinstance(value, dict):
                 raise units.Fault(
-                    f'{units.describe(value)} is no map', f'keys: {names}'
+                    f'{units.describe(value)} is not a map', f'keys: {names}'
                 )
             return inner(value, cls)
 
--- a/tests/test_protocol/test_protocol_samples.py
+++ b/tests/test_protocol/test_protocol_samples.py
@@ -97,7 +97,7 @@
         ),
         '94330102920367',
     ),
-    (messages_decisions.PermitWaiting(), '9134'),
+    (messages_decisions.PermitQueued(), '9134'),
     (
         messages_decisions.PermitRelease(numbers=[1, 101], unused=True),
         '9335920165c3',
@@ -134,7 +134,7 @@
         '973b010292036792046892056992066a',
     ),
     (
-        messages_decisions.CrashSeen(
+        messages_decisions.CrashNotice(
             upstream=1, instance=2, fingerprints=[3, 103], fresh=[4, 104]
         ),
         '953c0102920367920468',
@@ -176,7 +176,7 @@
     (messages_membership.Ping(updates=['text1', 1]), '925292a5746578743101'),
     (messages_membership.Ack(updates=['text1', 1]), '925392a5746578743101'),
     (
-        messages_membership.PingThrough(target='text1', updates=['text2', 2]),
+        messages_membership.IndirectPing(target='text1', updates=['text2', 2]),
         '9354a5746578743192a5746578743202',
     ),
     (
--- a/tests/test_state/test_settings.py
+++ b/tests/test_state/test_settings.py
@@ -142,7 +142,7 @@
         ('[1]: 2\n', 'a key that is a list'),
         ('\x00', 'character'),
         ('x' * (1 << 20) + 'x', 'too long'),
-        ('', 'is no map'),
+        ('', 'is not a map'),
     ],
 )
 def test_what_is_no_plain_yaml_is_told(text, fault):
--- a/tests/test_transport/test_operators_client.py
+++ b/tests/test_transport/test_operators_client.py
@@ -58,7 +58,9 @@
     assert caught.value.status == 422
     assert caught.value.kind == 'document-invalid'
     assert "'5'" not in str(caught.value)
-    assert 'line 1: rules: 5 is no list; allowed: a list' in str(caught.value)
+    assert 'line 1: rules: 5 is not a list; allowed: a list' in str(
+        caught.value
+    )
 
 
 async def test_nobody_there():
