--- a/tests/test_coordination/test_forwarding_leaving.py
+++ b/tests/test_coordination/test_forwarding_leaving.py
@@ -101,7 +101,9 @@
     fleet.set_content(fakes.snapshot(2, fakes.table(1), fakes.upstream('e2')))
     await trio.sleep(1.5)
     again = fakes.upstream('e1', revision=3)
-    fleet.set_content(fakes.snapshot(3, fakes.table(1), again, fakes.upstream('e2')))
+    fleet.set_content(
+        fakes.snapshot(3, fakes.table(1), again, fakes.upstream('e2'))
+    )
     await trio.sleep(1.5)
     assert [names(node) for node in fleet.routers.values()] == [
         ['e1', 'e2']
