--- a/tests/test_coordination/test_forwarding_facts.py
+++ b/tests/test_coordination/test_forwarding_facts.py
@@ -30,9 +30,11 @@
     return facts.Facts('10.0.0.1', lambda fact: None)
 
 
-def current_facts(known):
+def current_facts(router_facts):
     return {
-        entry.fact for entry in known.all_entries() if known.is_current(entry)
+        entry.fact
+        for entry in router_facts.all_entries()
+        if router_facts.is_current(entry)
     }
 
 
@@ -89,50 +91,50 @@
 
 
 async def test_fact_is_sent_a_few_times_only(autojump_clock):
-    known = make_facts()
-    known.add(crashes.DEATH, 'a', 'x', 60.0)
-    pending = [bool(known.next_new()) for _ in range(3)]
+    router_facts = make_facts()
+    router_facts.add(crashes.DEATH, 'a', 'x', 60.0)
+    pending = [bool(router_facts.next_new()) for _ in range(3)]
     assert pending == [True] * 3
     for _ in range(facts.TRANSMISSIONS_PER_FACT):
-        known.rows_to_send()
-    assert known.next_new() == []
+        router_facts.rows_to_send()
+    assert router_facts.next_new() == []
 
 
 async def test_partitioned_router_receives_old_facts(autojump_clock):
     # Guards against facts that a router never receives after a partition: it
     # misses all transmissions of twenty facts. Each later message contains one
     # old fact, so after somewhat more than twenty messages it has all.
-    known, late = make_facts(), make_facts()
+    sender, receiver = make_facts(), make_facts()
     for number in range(20):
-        known.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
-    while known.next_new():
-        known.rows_to_send()
+        sender.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
+    while sender.next_new():
+        sender.rows_to_send()
     for _ in range(45):
-        late.merge_rows(known.rows_to_send())
-    assert len(current_facts(late)) == 20
+        receiver.merge_rows(sender.rows_to_send())
+    assert len(current_facts(receiver)) == 20
 
 
 async def test_kind_of_a_later_version_is_ignored(autojump_clock):
-    known = make_facts()
-    known.merge_rows([['unheard of', 'a', 'x', 0, 1000]])
-    assert current_facts(known) == set()
+    router_facts = make_facts()
+    router_facts.merge_rows([['unheard of', 'a', 'x', 0, 1000]])
+    assert current_facts(router_facts) == set()
 
 
 async def test_validity_of_a_fact_is_bounded_by_its_kind(autojump_clock):
-    known = make_facts()
-    known.add(suspicions.SUSPECTED, 'e1', '10.0.0.2', 3600.0)
+    router_facts = make_facts()
+    router_facts.add(suspicions.SUSPECTED, 'e1', '10.0.0.2', 3600.0)
     await trio.sleep(suspicions.MOST_SECONDS + 0.1)
-    assert known.current(suspicions.SUSPECTED, 'e1') == []
-    known.remove_expired()
-    assert not known.may_have(suspicions.SUSPECTED)
+    assert router_facts.current(suspicions.SUSPECTED, 'e1') == []
+    router_facts.remove_expired()
+    assert not router_facts.may_have(suspicions.SUSPECTED)
 
 
 async def test_facts_are_bounded(autojump_clock):
-    known = make_facts()
+    router_facts = make_facts()
     for number in range(facts.MAX_FACTS + 10):
-        known.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
-    known.remove_expired()
-    assert len(current_facts(known)) == facts.MAX_FACTS
+        router_facts.add(crashes.DEATH, f'{number:016x}', 'x', 60.0)
+    router_facts.remove_expired()
+    assert len(current_facts(router_facts)) == facts.MAX_FACTS
 
 
 async def test_fact_added_while_others_are_sent_is_sent_at_once(
@@ -141,46 +143,47 @@
     # Guards against a lost wake-up: the task that sends new facts waits while
     # another message is built. It waited for an event that the message had
     # replaced, and the next fact was delayed until the periodic messages.
-    known = make_facts()
-    known.add(crashes.DEATH, 'a', 'x', 60.0)
-    known.rows_to_send()
-    awaited = known.new_fact
-    known.rows_to_send()
-    known.add(crashes.DEATH, 'b', 'x', 60.0)
+    router_facts = make_facts()
+    router_facts.add(crashes.DEATH, 'a', 'x', 60.0)
+    router_facts.rows_to_send()
+    awaited = router_facts.new_fact
+    router_facts.rows_to_send()
+    router_facts.add(crashes.DEATH, 'b', 'x', 60.0)
     assert awaited.is_set()
 
 
 def make_suspicions(size):
     confirmed = []
-    suspicion = suspicions.Suspicions(
-        facts.Facts('10.0.0.1', lambda fact: suspicion.learn(fact)),
+    subject = suspicions.Suspicions(
+        facts.Facts('10.0.0.1', lambda fact: subject.learn(fact)),
         lambda: size,
     )
-    suspicion.believed = lambda instance, seconds: confirmed.append(
+    subject.believed = lambda instance, seconds: confirmed.append(
         (instance, round(seconds, 1))
     )
-    return suspicion, confirmed
+    return subject, confirmed
 
 
-async def test_suspicion_of_one_router_of_many_is_not_confirmed(autojump_clock):
-    # Guards against a false alarm of one router: a router whose own network is
-    # broken suspects one upstream after the other. If two hundred others acted
-    # on that, the upstreams would lose their caches.
-    suspicion, confirmed = make_suspicions(200)
-    suspicion.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 0, 1000]])
-    suspicion.facts.merge_rows([['suspected', 'e2', '10.0.0.2', 0, 1000]])
+async def test_one_report_confirms_no_suspicion_in_a_large_fleet(
+    autojump_clock,
+):
+    # A router whose own network path is cut finds one upstream after the other
+    # dead. If 200 others acted on that, all prompt caches would be lost.
+    subject, confirmed = make_suspicions(200)
+    subject.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 0, 1000]])
+    subject.facts.merge_rows([['suspected', 'e2', '10.0.0.2', 0, 1000]])
     assert confirmed == []
-    suspicion.facts.merge_rows([['suspected', 'e1', '10.0.0.3', 0, 2000]])
+    subject.facts.merge_rows([['suspected', 'e1', '10.0.0.3', 0, 2000]])
     assert confirmed == [('e1', 2.0)]
 
 
-async def test_suspicion_of_one_router_of_few_is_confirmed(autojump_clock):
-    suspicion, confirmed = make_suspicions(4)
-    suspicion.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 200, 1000]])
+async def test_one_report_confirms_a_suspicion_in_a_small_fleet(autojump_clock):
+    subject, confirmed = make_suspicions(4)
+    subject.facts.merge_rows([['suspected', 'e1', '10.0.0.2', 200, 1000]])
     assert confirmed == [('e1', 0.8)]
 
 
-async def test_own_suspicion_is_not_reported_back(autojump_clock):
-    suspicion, confirmed = make_suspicions(4)
-    suspicion.tell('e1', 1.0)
+async def test_own_report_confirms_no_suspicion(autojump_clock):
+    subject, confirmed = make_suspicions(4)
+    subject.tell('e1', 1.0)
     assert confirmed == []
--- a/tests/test_coordination/test_forwarding_parts.py
+++ b/tests/test_coordination/test_forwarding_parts.py
@@ -116,9 +116,9 @@
     before = {
         chat: chosen(selection, chat).upstream.instance for chat in range(99)
     }
-    found = dict(selection.followed.current.upstreams)
-    del found['e3']
-    selection.set_upstreams(*found.values())
+    upstreams = dict(selection.followed.current.upstreams)
+    del upstreams['e3']
+    selection.set_upstreams(*upstreams.values())
     for chat, instance in before.items():
         now = chosen(selection, chat).upstream.instance
         assert (now == instance) or instance == 'e3'
@@ -140,8 +140,11 @@
 ):
     selection.set_upstreams(fakes.upstream('e0'))
     selection.health.note_unreachable('e0')
-    found = chosen(selection, 1)
-    assert (found.upstream.instance, found.reason) == ('e0', choice.AVOIDED)
+    decision = chosen(selection, 1)
+    assert (decision.upstream.instance, decision.reason) == (
+        'e0',
+        choice.AVOIDED,
+    )
 
 
 async def test_service_without_upstreams_gives_no_upstream(
@@ -160,8 +163,8 @@
     before = {
         chat: chosen(selection, chat).upstream.instance for chat in range(99)
     }
-    found = selection.followed.current.upstreams.values()
-    selection.set_upstreams(*found, fakes.upstream('e9', zone='sala-b'))
+    upstreams = selection.followed.current.upstreams.values()
+    selection.set_upstreams(*upstreams, fakes.upstream('e9', zone='sala-b'))
     moved = 0
     for chat, instance in before.items():
         now = chosen(selection, chat).upstream
@@ -180,15 +183,15 @@
 async def test_nothing_is_copied_from_removed_or_unreachable_upstreams(
     selection, autojump_clock
 ):
-    found = dict(selection.followed.current.upstreams)
+    upstreams = dict(selection.followed.current.upstreams)
     before = chosen(selection, 7).upstream.instance
-    gone = found.pop(before)
-    selection.set_upstreams(*found.values())
+    gone = upstreams.pop(before)
+    selection.set_upstreams(*upstreams.values())
     now = chosen(selection, 7).upstream
     source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source is None or source.upstream.instance != before
     selection.set_upstreams(
-        *found.values(), fakes.upstream(before, leaving=True)
+        *upstreams.values(), fakes.upstream(before, leaving=True)
     )
     source = selection.cached.source('chat', 'chat-7', need(7).parts, now)
     assert source.upstream.instance == gone.instance
@@ -203,9 +206,9 @@
     # Upstreams registered one after the other before the first request. For a
     # chat whose preferred upstream was full, the prompt was looked up at the
     # upstream preferred among the earlier ones, and was processed again.
-    found = list(selection.followed.current.upstreams.values())
-    for count in range(1, len(found) + 1):
-        selection.set_upstreams(*found[:count])
+    upstreams = list(selection.followed.current.upstreams.values())
+    for count in range(1, len(upstreams) + 1):
+        selection.set_upstreams(*upstreams[:count])
     for chat in range(50):
         first = chosen(selection, chat).upstream.instance
         for _ in range(20):
@@ -261,9 +264,9 @@
         selection.loads.begin(first.instance)
     spilled = chosen(selection, 7)
     assert spilled.passed_over
-    told = prompt_holders.PromptHolders()
-    told.note_chat('chat-7', spilled.upstream.instance)
-    selection.holders.take(told.told(far=False))
+    other_holders = prompt_holders.PromptHolders()
+    other_holders.note_chat('chat-7', spilled.upstream.instance)
+    selection.holders.take(other_holders.told(far=False))
     for _ in range(40):
         selection.loads.end(first.instance)
     again = chosen(selection, 7).upstream
@@ -275,49 +278,51 @@
 
 async def test_holders_of_a_shared_prefix_are_sent_and_expire(autojump_clock):
     parts = need(1).parts
-    one = prompt_holders.PromptHolders()
-    other = prompt_holders.PromptHolders()
+    sender = prompt_holders.PromptHolders()
+    receiver = prompt_holders.PromptHolders()
     for instance in ('e1', 'e2', 'e3', 'e4'):
-        one.note_first_part(parts, instance)
-    other.take(one.told(far=False))
-    found = other.of_first_part(parts, lambda short: True)
+        sender.note_first_part(parts, instance)
+    receiver.take(sender.told(far=False))
+    holder = receiver.of_first_part(parts, lambda short: True)
     names = {hashing.short_id(name) for name in ('e1', 'e2', 'e3')}
-    assert found in names
-    assert other.of_first_part(parts, lambda short: short not in names) is None
+    assert holder in names
+    assert (
+        receiver.of_first_part(parts, lambda short: short not in names) is None
+    )
     await trio.sleep(prompt_holders.HOLD_SECONDS + 0.1)
-    other.tidy()
-    assert other.of_first_part(parts, lambda short: True) is None
-    assert other.told(far=True) == b''
+    receiver.tidy()
+    assert receiver.of_first_part(parts, lambda short: True) is None
+    assert receiver.told(far=True) == b''
 
 
 async def test_latest_holders_of_a_chat_are_kept(autojump_clock):
-    known = prompt_holders.PromptHolders()
+    holders = prompt_holders.PromptHolders()
     for instance in ('e1', 'e2', 'e3', 'e4'):
-        known.note_chat('chat-1', instance)
+        holders.note_chat('chat-1', instance)
         await trio.sleep(1.0)
     names = [hashing.short_id(name) for name in ('e4', 'e3', 'e2')]
-    assert known.of_chat('chat-1') == names
+    assert holders.of_chat('chat-1') == names
 
 
 async def test_prefixes_of_single_chats_are_bounded(autojump_clock):
     # Each chat begins with a text of its own. There is nothing to share, and
     # routers must not send each other every prefix.
-    known = prompt_holders.PromptHolders()
+    holders = prompt_holders.PromptHolders()
     for chat in range(prompt_holders.MAX_FIRST_PARTS + 50):
         parts = choice.parse_parts(f'{chat:x}:100,c{chat:x}:900,f:10')
-        known.note_first_part(parts, 'e1')
-    assert len(known.holders) == prompt_holders.MAX_FIRST_PARTS
-    assert len(known.told(far=False)) <= 9 * prompt_holders.MAX_NEAR_TOLD
+        holders.note_first_part(parts, 'e1')
+    assert len(holders.holders) == prompt_holders.MAX_FIRST_PARTS
+    assert len(holders.told(far=False)) <= 9 * prompt_holders.MAX_NEAR_TOLD
 
 
 async def test_holders_to_send_are_bounded(autojump_clock):
     # In an overload nearly all chats are served by other upstreams than their
     # preferred ones: the entries sent longest ago are left out.
-    known = prompt_holders.PromptHolders()
+    holders = prompt_holders.PromptHolders()
     for chat in range(3 * prompt_holders.MAX_WAITING):
-        known.note_chat(f'chat-{chat}', 'e1')
+        holders.note_chat(f'chat-{chat}', 'e1')
     messages = 0
-    while known.told(far=False):
+    while holders.told(far=False):
         messages += 1
     rows = prompt_holders.MAX_WAITING * prompt_holders.TELLINGS
     assert messages <= rows / prompt_holders.MAX_NEAR_TOLD + 1
@@ -346,19 +351,19 @@
 async def test_reported_load_counts_with_requests_sent_since(
     autojump_clock,
 ):
-    known = loads.Loads()
-    known.begin('e1')
-    known.note_report('e1', b'7,2,64')
-    known.begin('e1')
-    assert known.load('e1') == 10
-    known.end('e1')
-    known.end('e1')
-    assert known.load('e1') == 8
+    upstream_loads = loads.Loads()
+    upstream_loads.begin('e1')
+    upstream_loads.note_report('e1', b'7,2,64')
+    upstream_loads.begin('e1')
+    assert upstream_loads.load('e1') == 10
+    upstream_loads.end('e1')
+    upstream_loads.end('e1')
+    assert upstream_loads.load('e1') == 8
     await trio.sleep(2.0)
-    assert known.load('e1') == 0
+    assert upstream_loads.load('e1') == 0
     for text in (b'', b'x', b'1', b'-1,2,3'):
-        known.note_report('e2', text)
-    assert 'e2' not in known.reports
+        upstream_loads.note_report('e2', text)
+    assert 'e2' not in upstream_loads.reports
 
 
 async def test_shares_of_the_budget_stay_below_the_whole(autojump_clock):
@@ -371,10 +376,10 @@
     for _ in range(400):
         await trio.sleep(0.1)
         now = trio.current_time()
-        for one in routers:
-            one.note_request('desk')
+        for router in routers:
+            router.note_request('desk')
             requests.append(now)
-            if one.try_take('desk'):
+            if router.try_take('desk'):
                 repeats.append(now)
         while repeats and repeats[0] < now - 10.0:
             repeats.popleft()
@@ -385,18 +390,22 @@
 
 
 async def test_router_without_a_fleet_size_has_no_share(autojump_clock):
-    one = budget.RepeatBudget(budget.RepeatSettings(0.2, 54.0), lambda: 0)
-    assert not any(one.try_take('desk') for _ in range(100))
+    retry_budget = budget.RepeatBudget(
+        budget.RepeatSettings(0.2, 54.0), lambda: 0
+    )
+    assert not any(retry_budget.try_take('desk') for _ in range(100))
     for _ in range(100):
-        one.note_request('desk')
-    assert sum(one.try_take('desk') for _ in range(100)) == 16
+        retry_budget.note_request('desk')
+    assert sum(retry_budget.try_take('desk') for _ in range(100)) == 16
 
 
 async def test_budgets_of_services_are_separate(autojump_clock):
-    one = budget.RepeatBudget(budget.RepeatSettings(0.0, 10.0), lambda: 1)
-    while one.try_take('desk'):
+    retry_budget = budget.RepeatBudget(
+        budget.RepeatSettings(0.0, 10.0), lambda: 1
+    )
+    while retry_budget.try_take('desk'):
         pass
-    assert one.try_take('chat')
+    assert retry_budget.try_take('chat')
 
 
 def test_events_are_split_at_their_ends():
@@ -426,16 +435,16 @@
 
 
 async def test_upstream_resumes_after_the_last_written_event():
-    one = fakes.upstream('e1')
-    content = fakes.snapshot(1, fakes.table(), one)
+    upstream = fakes.upstream('e1')
+    content = fakes.snapshot(1, fakes.table(), upstream)
     router = fakes.Router(content, fakes.Exchanges(e1=[fakes.reply()]))
     ticket = await router.entry.admit(fakes.request(last_event_id='7'))
     ticket.cutter.feed(b'id: 8\ndata: b\n\n')
-    made = router.forwarder.attempts.requests.make(ticket, one)
-    assert dict(made.headers)[b'last-event-id'] == b'7'
+    sent = router.forwarder.attempts.requests.make(ticket, upstream)
+    assert dict(sent.headers)[b'last-event-id'] == b'7'
     ticket.cutter.note_written()
-    made = router.forwarder.attempts.requests.make(ticket, one)
-    assert dict(made.headers)[b'last-event-id'] == b'8'
+    sent = router.forwarder.attempts.requests.make(ticket, upstream)
+    assert dict(sent.headers)[b'last-event-id'] == b'8'
 
 
 @pytest.mark.parametrize('number', [1, 2, 4])
@@ -453,14 +462,14 @@
 
 
 async def test_failing_upstream_is_avoided_longer_each_time(autojump_clock):
-    known = health.Health()
+    upstream_health = health.Health()
     spans = []
     for _ in range(3):
-        while not known.held_back():
-            known.note_failure('e1')
+        while not upstream_health.held_back():
+            upstream_health.note_failure('e1')
         began = trio.current_time()
-        await trio.sleep(known.records['e1'].avoid_until - began)
-        assert known.held_back() == set()
+        await trio.sleep(upstream_health.records['e1'].avoid_until - began)
+        assert upstream_health.held_back() == set()
         spans.append(trio.current_time() - began)
     assert spans[0] < spans[1] < spans[2]
 
@@ -469,28 +478,28 @@
     # All engines of a service answer half of their requests with 500. Avoiding
     # one after the other moves each chat to an engine without its prompt in the
     # cache, where it fails as often.
-    known = health.Health()
+    upstream_health = health.Health()
     names = ['e1', 'e2', 'e3']
     for number in range(60):
         for name in names:
             if number % 2:
-                known.note_failure(name, names)
+                upstream_health.note_failure(name, names)
             else:
-                known.note_success(name)
+                upstream_health.note_success(name)
         await trio.sleep(0.1)
-        assert known.held_back() == set()
+        assert upstream_health.held_back() == set()
     for _ in range(100):
-        known.note_failure('e1', names)
-    assert known.held_back() == {'e1'}
+        upstream_health.note_failure('e1', names)
+    assert upstream_health.held_back() == {'e1'}
 
 
 async def test_few_failures_among_many_successes_are_tolerated(autojump_clock):
     # One request in seven fails at any upstream.
-    known = health.Health()
+    upstream_health = health.Health()
     for number in range(200):
         if number % 7 == 0:
-            known.note_failure('e1')
+            upstream_health.note_failure('e1')
         else:
-            known.note_success('e1')
+            upstream_health.note_success('e1')
         await trio.sleep(0.1)
-        assert known.held_back() == set()
+        assert upstream_health.held_back() == set()
--- a/tests/test_coordination/test_forwarding_removals.py
+++ b/tests/test_coordination/test_forwarding_removals.py
@@ -79,30 +79,30 @@
 
 
 async def test_total_is_the_sum_of_the_loads(autojump_clock):
-    known = loads.Loads()
-    known.begin('e1')
-    known.note_peer('r2', {'e1': 2, 'e2': 1})
-    known.note_peer('r3', {'e2': 4})
-    known.note_report('e3', b'5,1,8')
+    upstream_loads = loads.Loads()
+    upstream_loads.begin('e1')
+    upstream_loads.note_peer('r2', {'e1': 2, 'e2': 1})
+    upstream_loads.note_peer('r3', {'e2': 4})
+    upstream_loads.note_report('e3', b'5,1,8')
     names = ['e1', 'e2', 'e3', 'e4']
-    counts = [known.load(name) for name in names]
+    counts = [upstream_loads.load(name) for name in names]
     assert counts == [3, 5, 6, 0]
-    assert known.total(set(names)) == sum(counts)
-    assert known.total({'e1', 'e4'}) == 3
-    known.note_peer('r2', {'e2': 1})
-    assert [known.load(name) for name in names] == [1, 5, 6, 0]
+    assert upstream_loads.total(set(names)) == sum(counts)
+    assert upstream_loads.total({'e1', 'e4'}) == 3
+    upstream_loads.note_peer('r2', {'e2': 1})
+    assert [upstream_loads.load(name) for name in names] == [1, 5, 6, 0]
 
 
 async def test_load_of_a_silent_peer_expires(autojump_clock):
-    known = loads.Loads()
-    known.note_peer('r2', {'e1': 2})
+    upstream_loads = loads.Loads()
+    upstream_loads.note_peer('r2', {'e1': 2})
     await trio.sleep(2.0)
-    known.note_peer('r3', {'e1': 3})
+    upstream_loads.note_peer('r3', {'e1': 3})
     await trio.sleep(1.5)
-    assert known.load('e1') == 3
+    assert upstream_loads.load('e1') == 3
     await trio.sleep(2.0)
-    assert known.load('e1') == 0
-    assert not known.told
+    assert upstream_loads.load('e1') == 0
+    assert not upstream_loads.told
 
 
 async def test_report_from_another_router_counts_with_own_requests(
@@ -110,25 +110,25 @@
 ):
     # Another router received a report of 9 half a second ago; of this router's
     # own requests one began before that and two after it.
-    known = loads.Loads()
-    known.begin('e1')
+    upstream_loads = loads.Loads()
+    upstream_loads.begin('e1')
     await trio.sleep(0.5)
-    known.begin('e1')
-    known.begin('e1')
+    upstream_loads.begin('e1')
+    upstream_loads.begin('e1')
     await trio.sleep(0.25)
-    known.note_told('e1', 9, 0.5)
-    assert known.load('e1') == 11
+    upstream_loads.note_told('e1', 9, 0.5)
+    assert upstream_loads.load('e1') == 11
     # One is older than the present report, one older than the age limit.
-    known.note_told('e1', 3, 0.6)
-    known.note_told('e2', 3, loads.REPORT_SECONDS + 0.1)
-    assert [known.load(name) for name in ('e1', 'e2')] == [11, 0]
-    known.note_told('e1', 4, 0.1)
-    assert known.load('e1') == 4
+    upstream_loads.note_told('e1', 3, 0.6)
+    upstream_loads.note_told('e2', 3, loads.REPORT_SECONDS + 0.1)
+    assert [upstream_loads.load(name) for name in ('e1', 'e2')] == [11, 0]
+    upstream_loads.note_told('e1', 4, 0.1)
+    assert upstream_loads.load('e1') == 4
 
 
 async def test_late_report_expires_by_the_time_it_was_made(autojump_clock):
-    known = loads.Loads()
-    known.note_report('e1', b'5,0,8')
-    known.note_told('e2', 7, 1.0)
+    upstream_loads = loads.Loads()
+    upstream_loads.note_report('e1', b'5,0,8')
+    upstream_loads.note_told('e2', 7, 1.0)
     await trio.sleep(loads.REPORT_SECONDS - 0.5)
-    assert [known.load(name) for name in ('e1', 'e2')] == [5, 0]
+    assert [upstream_loads.load(name) for name in ('e1', 'e2')] == [5, 0]
