--- a/lavenderbend/cmd/router.py
+++ b/lavenderbend/cmd/router.py
@@ -13,7 +13,7 @@
 from lavenderbend.cmd import exit_codes
 from lavenderbend.observe import logs
 from lavenderbend.protocol import documents_yaml
-from lavenderbend.transport import early_collection
+from lavenderbend.transport import startup_gc
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -35,7 +35,7 @@
 
         tracing.set_up(settings.id, settings.tracing.otlp_endpoint)
     logs.write_unblocked(sys.stdout.fileno())
-    early_collection.begin()
+    startup_gc.enable()
     trio.run(forwarding.run_router, settings, path)
     return exit_codes.ExitCode.OK
 
@@ -76,6 +76,6 @@
 
         logs.write_to(sys.stdout)
         tracing.set_up(settings.id, settings.tracing.otlp_endpoint)
-        early_collection.begin()
+        startup_gc.enable()
         trio.run(router.run_router, settings)
         return exit_codes.ExitCode.OK
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -309,7 +309,7 @@
         with trio.move_on_after(left) as scope:
             await trio.sleep(stop.balancer_grace_seconds)
             self.callers.close_idle()
-            await self.callers.wait_empty()
+            await self.callers.wait_all_closed()
         if scope.cancelled_caught:
             logs.change('requests_cut', count=len(self.callers.connections))
 
@@ -322,7 +322,7 @@
                 continue
             instances = {*current.upstreams, *self.snapshots.retained}
             self.exchanges.retain(instances)
-            self.exchanges.sweep()
+            self.exchanges.close_expired()
             self.health.retain(instances)
 
 
@@ -356,7 +356,7 @@
     """Begins a graceful stop, or reads the settings again, at a signal."""
     watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     with trio.open_signal_receiver(*watched) as received:
-        for number in early_signals.take(watched):
+        for number in early_signals.take_pending(watched):
             handle_signal(daemon, path, number)
         async for number in received:
             handle_signal(daemon, path, number)
--- a/lavenderbend/daemon/router.py
+++ b/lavenderbend/daemon/router.py
@@ -360,7 +360,7 @@
 async def stop_on_signal(daemon: RouterDaemon) -> None:
     """Begins a graceful stop at the first signal."""
     with trio.open_signal_receiver(*STOP_SIGNALS) as received:
-        if early_signals.take(STOP_SIGNALS):
+        if early_signals.take_pending(STOP_SIGNALS):
             daemon.stop()
         async for _ in received:
             daemon.stop()
--- a/lavenderbend/transport/__init__.py
+++ b/lavenderbend/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: callers, operators, peers, upstreams, the platform."""
+"""Network connections to callers, operators, peers, upstreams and stores."""
--- a/lavenderbend/transport/answer_bodies.py
+++ b/lavenderbend/transport/answer_bodies.py
@@ -1,4 +1,4 @@
-"""The body of a response, taken from an answer as it arrives."""
+"""Response bodies that relay an upstream's answer as it arrives."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class BrokenOff(errors.LavenderbendError):
-    """The response is ended without its end; the connection is closed."""
+    """The response is incomplete; the server closes the connection."""
 
     category = 'response broken off'
 
 
 class AnswerBody(quart_response.ResponseBody):
-    """Relays an answer, and closes it however the response ends.
+    """Relays an answer and closes it when the response ends for any reason.
 
     Attributes:
         answer: The answer.
-        request_id: Named in the error event.
-        hop: The span of the request.
-        broken: The error that ended the answer early.
+        request_id: Id of the request, stated in the error event.
+        hop: Tracing span of the request.
+        error: The error that ended the answer early, None if there is none.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self.answer = answer
         self.request_id = request_id
         self.hop = hop
-        self.broken: errors.RequestError | None = None
+        self.error: errors.RequestError | None = None
 
     async def __aenter__(self) -> AnswerBody:
         return self
@@ -62,25 +62,27 @@
         return self
 
     async def __anext__(self) -> bytes:
-        if self.broken is not None:
-            # a clean end would make the part that came look whole
-            raise BrokenOff(str(self.broken)) from self.broken
+        if self.error is not None:
+            # a regular end of the response would make the partial answer
+            # look complete
+            raise BrokenOff(str(self.error)) from self.error
         try:
             piece = await self.answer.next_piece()
         except errors.RequestError as exc:
-            return self.break_off(exc)
+            return self.error_event(exc)
         if piece is None:
             raise StopAsyncIteration
         return piece
 
-    def break_off(self, error: errors.RequestError) -> bytes:
-        """Returns the last bytes of an answer that cannot be completed.
+    def error_event(self, error: errors.RequestError) -> bytes:
+        """Returns the event that reports an error to the caller of a stream.
 
         Raises:
-            BrokenOff: There are none.
+            BrokenOff: The answer is not a stream of server-sent events, so the
+                error cannot be reported in its body.
         """
-        kind = self.answer.headers.get('content-type', '')
-        if not kind.startswith(sse.CONTENT_TYPE):
+        content_type = self.answer.headers.get('content-type', '')
+        if not content_type.startswith(sse.CONTENT_TYPE):
             raise BrokenOff(str(error)) from error
-        self.broken = error
+        self.error = error
         return problems.to_event(error, self.request_id)
--- a/lavenderbend/transport/answer_heads.py
+++ b/lavenderbend/transport/answer_heads.py
@@ -1,4 +1,4 @@
-"""Waits for the head of an upstream's answer."""
+"""Reads the head of an upstream's answer."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 async def next_head(
     protocol: h11.Connection, receive: Callable[[], Awaitable[None]]
 ) -> h11.Response:
-    """Returns the head of the next answer, informational ones passed over.
+    """Returns the head of the next answer, skipping informational ones.
 
     Args:
-        protocol: The connection's state.
-        receive: Reads what comes next into it.
+        protocol: HTTP/1.1 state of the connection.
+        receive: Reads the next bytes from the connection into `protocol`.
 
     Raises:
-        RemoteProtocolError: The upstream closed before its answer.
+        RemoteProtocolError: The upstream closed the connection before it
+            answered, or its bytes are not valid HTTP/1.1.
     """
     while True:
         event = protocol.next_event()
@@ -30,4 +31,4 @@
         elif isinstance(event, h11.Response):
             return event
         elif isinstance(event, h11.ConnectionClosed):
-            raise h11.RemoteProtocolError('closed before its answer')
+            raise h11.RemoteProtocolError('connection closed before the answer')
--- a/lavenderbend/transport/caller_answers.py
+++ b/lavenderbend/transport/caller_answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers on their HTTP/1.1 connections."""
+"""Writes answers to callers on HTTP/1.1 connections."""
 
 from __future__ import annotations
 
@@ -31,30 +31,31 @@
         connection: caller_connections.CallerConnection,
         method: bytes = b'',
     ) -> None:
-        """Makes an answer.
+        """Initializes the answer.
 
         Args:
-            connection: Where it is written.
-            method: Of the request, empty for one that could not be read.
+            connection: Connection on which it is written.
+            method: Method of the request, empty if the request could not be
+                parsed.
         """
         self.connection = connection
         self.method = method
 
     def closing(self) -> bool:
-        """Whether the connection closes after this answer."""
+        """Returns whether the connection is closed after this answer."""
         return self.connection.server.stopping
 
     async def write(self, *events: h11.Event) -> None:
-        """Sends events in one write.
+        """Sends HTTP/1.1 events in one write.
 
         Raises:
-            AnswerInterrupted: The write before was cut.
-            CallerGone: The caller has closed.
+            AnswerInterrupted: An earlier write was cancelled part-way.
+            CallerGone: The caller has closed the connection.
         """
         if self.write_pending:
-            # the caller would read these bytes as the rest of those that were
-            # cut: a gap in its answer, or no answer in the protocol
-            raise errors.AnswerInterrupted('the write before was cut')
+            # the caller would take these bytes for the rest of the cancelled
+            # write: its answer would have a gap or break the protocol
+            raise errors.AnswerInterrupted('an earlier write was interrupted')
         protocol = self.connection.protocol
         data = b''.join(protocol.send(event) or b'' for event in events)
         self.write_pending = True
@@ -66,7 +67,7 @@
         self.write_pending = False
 
     def head(self, status: int, headers: interfaces.Headers) -> h11.Response:
-        """Returns the head as an event."""
+        """Returns the head of the answer as an HTTP/1.1 event."""
         if self.closing():
             headers = (*headers, (b'connection', b'close'))
         return h11.Response(status_code=status, headers=list(headers))
@@ -74,13 +75,13 @@
     async def send_whole(
         self, status: int, headers: interfaces.Headers, body: bytes
     ) -> None:
-        """Sends an answer of known length."""
+        """Sends a complete answer with its length."""
         self.started = True
         headers = without_length(headers)
         length = (b'content-length', b'%d' % len(body))
         await self.write(
             self.head(status, (*headers, length)),
-            # the answer to HEAD states a length and has no body
+            # the answer to HEAD has a content-length and no body
             h11.Data(data=b'' if self.method == HEAD else body),
             h11.EndOfMessage(),
         )
@@ -96,14 +97,14 @@
         await self.write(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """Ends a streamed answer as complete."""
+        """Marks the end of a streamed answer."""
         await self.write(h11.EndOfMessage())
         self.finished = True
 
 
 def without_length(headers: interfaces.Headers) -> interfaces.Headers:
-    """Returns the headers without a length, which is stated anew."""
-    return tuple(item for item in headers if item[0] != b'content-length')
+    """Returns the headers without content-length, which is set separately."""
+    return tuple(pair for pair in headers if pair[0] != b'content-length')
 
 
 async def send_problem(
@@ -112,12 +113,13 @@
     request_id: str,
     close: bool = False,
 ) -> None:
-    """Sends an error of the router as problem details."""
+    """Sends an error of the router as problem details (RFC 9457)."""
     headers = [
         (b'content-type', problems.CONTENT_TYPE.encode()),
     ]
     if error.retry_after is not None:
-        # a fraction: callers with a second left come back within it
+        # fractions of a second are kept: a caller whose deadline is a second
+        # away can still retry before it
         seconds = math.ceil(error.retry_after * 1000) / 1000
         headers.append((b'retry-after', b'%g' % seconds))
     if close:
--- a/lavenderbend/transport/caller_connections.py
+++ b/lavenderbend/transport/caller_connections.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP/1.1 connections, a task each, by h11 on trio sockets."""
+"""HTTP/1.1 connections of callers, one task each, by h11 on trio sockets."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     from lavenderbend.transport import caller_server
 
 HTTP_1_0 = b'1.0'
-# on, and no time to send what is left
+# SO_LINGER enabled with a timeout of 0: close() sends a reset
 RESET_AT_CLOSE = struct.pack('ii', 1, 0)
-# time for a caller to take the answer that says why its connection closes
-FAREWELL_SECONDS = 1.0
+# time for a caller to read the error answer before its connection is closed
+LINGERING_CLOSE_SECONDS = 1.0
 
 BAD_REQUESTS = metrics.counter(
     'lavenderbend_caller_bad_requests_total',
@@ -39,9 +39,10 @@
         server: The server.
         stream: The TCP stream.
         protocol: HTTP/1.1 state.
-        idle_scope: Cancelled to end the wait for a next request.
-        waiting_since: Router clock from which its first request may have
-            waited unread, None if it has not.
+        idle_scope: Cancel scope of the wait for the next request.
+        waiting_since: Router clock since which its first request may have
+            been waiting in the socket while the router started, None if the
+            connection was opened later.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
             try:
                 request = await self.read_request()
             except h11.RemoteProtocolError as exc:
-                await self.refuse(caller_requests.unreadable(exc))
+                await self.refuse(caller_requests.malformed_request(exc))
                 return
             except errors.RequestError as exc:
                 await self.refuse(exc)
@@ -83,7 +84,7 @@
             self.protocol.start_next_cycle()
 
     async def wait_for_request(self) -> bool:
-        """Waits for the first byte of a request; False if none came."""
+        """Waits for a request; returns False if none arrives in time."""
         if self.protocol.trailing_data[0]:
             return True
         idle = self.server.limits().idle_seconds
@@ -93,27 +94,28 @@
         with self.idle_scope:
             await trio.lowlevel.wait_readable(self.stream.socket)
             return True
-        # a request that arrived just now is served: closing over its bytes
-        # would reset the connection
+        # a request that arrived in the meantime is served: closing a socket
+        # with unread bytes would reset the connection
         return self.stream.socket.is_readable()
 
     async def read_request(self) -> interfaces.CallerRequest | None:
-        """Returns the next request, None if the caller closed.
+        """Returns the next request, None if the caller closed the connection.
 
         Raises:
-            RequestError: It is over a limit, or took too long.
+            RequestError: It exceeds a limit or did not arrive in time.
         """
-        arrived = self.arrival()
+        arrived = self.earliest_arrival()
         reader = caller_requests.RequestReader(
             self.stream, self.protocol, self.server.limits()
         )
         return await reader.read(arrived)
 
-    def arrival(self) -> float:
-        """Returns the router clock at which a request came, at the earliest.
+    def earliest_arrival(self) -> float:
+        """Returns the earliest router clock at which the request can have come.
 
-        The time that a caller gives for its request runs while it waits for
-        a router that starts; an upstream must not be told more.
+        The time limit that a caller sets for its request also covers the wait
+        for a starting router. The deadline sent to an upstream must not allow
+        more time than the caller does.
         """
         if self.waiting_since is None:
             return trio.current_time()
@@ -122,13 +124,13 @@
         return arrived
 
     async def answer(self, request: interfaces.CallerRequest) -> bool:
-        """Has the request answered, and stops when the caller leaves.
+        """Answers the request; cancels it when the caller disconnects.
 
         Returns:
             Whether all of the answer was written. A deadline may cancel the
-            last write half done, when the protocol already counts it as
-            sent: what followed on this connection would be read as the rest
-            of this answer.
+            last write part-way, after the protocol state already counts it as
+            sent: the caller would take later bytes on this connection for the
+            rest of this answer.
         """
         answer = caller_answers.ConnectionAnswer(self, request.method)
         async with trio.open_nursery() as nursery:
@@ -136,14 +138,15 @@
             await self.handle(request, answer)
             nursery.cancel_scope.cancel()
         if answer.started and not answer.finished:
-            self.break_off()
+            self.reset_if_http_1_0()
         return answer.finished
 
-    def break_off(self) -> None:
-        """Has a caller of HTTP/1.0 see that its answer is not whole.
+    def reset_if_http_1_0(self) -> None:
+        """Makes the close a reset so that HTTP/1.0 sees an incomplete answer.
 
-        Its answer ends with the connection: closed in the usual way, a part
-        would pass for the whole. Others lack the last chunk, or bytes.
+        In HTTP/1.0 the end of the connection ends the answer: after a regular
+        close, a partial answer would look complete. In HTTP/1.1 the missing
+        last chunk or the content-length shows that it is incomplete.
         """
         if self.protocol.their_http_version == HTTP_1_0:
             self.stream.socket.setsockopt(
@@ -155,10 +158,10 @@
         request: interfaces.CallerRequest,
         answer: caller_answers.ConnectionAnswer,
     ) -> None:
-        """Has the request answered, or says why it is not.
+        """Calls the handler; sends an error answer if it raises one.
 
-        An answer that has begun and cannot be completed ends with its
-        connection; see `break_off`.
+        If an answer has begun and cannot be completed, its connection is
+        closed; see `reset_if_http_1_0`.
         """
         try:
             await self.server.handler(request, answer)
@@ -173,8 +176,8 @@
     ) -> None:
         """Cancels the request when its caller closes the connection.
 
-        An upstream would go on working for a caller that has left, and the
-        next one would wait for its slot.
+        Otherwise an upstream would continue to work for a caller that has
+        disconnected, and other requests would wait for that capacity.
         """
         try:
             data = await self.stream.socket.recv(1, socket.MSG_PEEK)
@@ -186,7 +189,7 @@
         scope.cancel()
 
     async def refuse(self, error: errors.RequestError) -> None:
-        """Tells why the request was not taken, and closes."""
+        """Sends the error of a rejected request, and closes the connection."""
         BAD_REQUESTS.inc({'status': str(error.status)})
         logs.change(
             'request_unreadable', status=error.status, cause=error.detail
@@ -194,10 +197,10 @@
         if self.protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         answer = caller_answers.ConnectionAnswer(self)
-        with trio.move_on_after(FAREWELL_SECONDS):
+        with trio.move_on_after(LINGERING_CLOSE_SECONDS):
             await caller_answers.send_problem(answer, error, '', close=True)
             await self.stream.send_eof()
-            # closing over unread bytes would reset the connection before
-            # the caller has read why
+            # closing a socket with unread bytes would reset the connection
+            # before the caller has read the error
             while await self.stream.receive_some(caller_requests.RECEIVE_BYTES):
                 pass
--- a/lavenderbend/transport/caller_credentials.py
+++ b/lavenderbend/transport/caller_credentials.py
@@ -1,4 +1,4 @@
-"""Finds the customer of a credential."""
+"""Authenticates callers: finds the customer of a credential."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def matches(entry: str, credential: bytes) -> bool:
-    """Returns whether the credential is the one of `salt$hash`."""
+    """Returns whether a credential matches an entry `salt$hash`."""
     salt, _, expected = entry.partition('$')
     digest = hashlib.sha256(salt.encode() + credential).hexdigest()
     return hmac.compare_digest(digest.encode(), expected.encode())
@@ -28,13 +28,15 @@
 class Credentials:
     """Looks credentials up in the configuration.
 
-    The salted hashes must be tried one by one; what was found is kept, under
-    a hash with a salt of this process, until the configuration changes.
+    Each credential has its own salt, so the configured hashes must be tried
+    one by one. Results are cached until the configuration changes; the cache
+    keys are hashes with a salt of this process.
 
     Attributes:
-        revision: Number of the revision that the cache belongs to.
+        revision: Number of the configuration revision of the cached results.
         salt: Salt of the cache.
-        cache: Customer names by hash of the credential, None for none.
+        cache: Customer name by hash of the credential, None if no customer
+            has it.
     """
 
     def __init__(self) -> None:
@@ -58,7 +60,7 @@
             self.cache.clear()
         key = hashlib.sha256(self.salt + credential).digest()
         if key not in self.cache:
-            self.cache[key] = find(revision.document, credential)
+            self.cache[key] = find_customer(revision.document, credential)
             if len(self.cache) > CACHE_SIZE:
                 self.cache.popitem(last=False)
         name = self.cache[key]
@@ -68,7 +70,11 @@
 
 
 def read_credential(header: str | None) -> bytes:
-    """Returns the credential of an Authorization header."""
+    """Returns the credential of an Authorization header.
+
+    Raises:
+        NotAuthenticated: There is no well-formed bearer token.
+    """
     if not header:
         raise errors.NotAuthenticated('the credential is missing')
     scheme, _, credential = header.partition(' ')
@@ -80,7 +86,7 @@
     return credential.encode('utf-8', 'surrogateescape')
 
 
-def find(
+def find_customer(
     document: configuration.Configuration, credential: bytes
 ) -> str | None:
     """Returns the customer that has the credential, if any."""
--- a/lavenderbend/transport/caller_requests.py
+++ b/lavenderbend/transport/caller_requests.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request from its HTTP/1.1 connection, within limits."""
+"""Reads callers' requests from HTTP/1.1 connections, within limits."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from lavenderbend.state import forwarding
 
 RECEIVE_BYTES = 64 * 1024
-# a body that stops arriving holds its connection no longer than this
+# a body that stops arriving occupies its connection for at most this time
 BODY_SECONDS = 10.0
 REQUEST_TIMEOUT_STATUS = 408
 HEADERS_TOO_LARGE_STATUS = 431
@@ -26,7 +26,7 @@
     Attributes:
         stream: The TCP stream.
         protocol: HTTP/1.1 state of the connection.
-        limits: What a request may be and take.
+        limits: Limits on the size and the duration of a request.
     """
 
     def __init__(
@@ -40,33 +40,33 @@
         self.limits = limits
 
     async def read(self, arrived: float) -> interfaces.CallerRequest | None:
-        """Returns the next request, None if the caller closed.
+        """Returns the next request, None if the caller closed the connection.
 
         Args:
-            arrived: Router clock at which it came, at the earliest.
+            arrived: Earliest router clock at which it can have arrived.
 
         Raises:
-            RequestError: It is over a limit, or took too long.
+            RequestError: It exceeds a limit or did not arrive in time.
         """
         limits = self.limits
         with trio.move_on_after(limits.header_seconds) as scope:
             head = await self.read_head()
         if scope.cancelled_caught:
-            raise too_slow('the headers of the request')
+            raise request_timeout('the headers of the request')
         if head is None:
             return None
         check_head(head, limits)
         with trio.move_on_after(BODY_SECONDS) as scope:
             body = await self.read_body(limits.body_bytes)
         if scope.cancelled_caught:
-            raise too_slow('the body of the request')
+            raise request_timeout('the body of the request')
         headers = tuple((bytes(k), bytes(v)) for k, v in head.headers)
         return interfaces.CallerRequest(
             bytes(head.method), bytes(head.target), headers, body, arrived
         )
 
     async def read_head(self) -> h11.Request | None:
-        """Returns the head of a request, None if the caller closed."""
+        """Returns the head of a request, None if the connection was closed."""
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
@@ -77,16 +77,18 @@
                 return None
 
     async def read_body(self, limit: int) -> bytes:
-        """Returns the whole body of the request.
+        """Returns the complete body of the request.
 
         Raises:
-            RequestTooLarge: It is over the limit.
+            RequestTooLarge: It exceeds the limit, in bytes.
         """
         parts: list[bytes] = []
         size = 0
         if self.protocol.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            await self.stream.send_all(self.protocol.send(go_on))
+            informational = h11.InformationalResponse(
+                status_code=100, headers=[]
+            )
+            await self.stream.send_all(self.protocol.send(informational))
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
@@ -102,20 +104,20 @@
                     )
 
     async def receive(self) -> None:
-        """Reads what comes next into the protocol."""
+        """Reads the next bytes from the socket into the protocol state."""
         data = await self.stream.receive_some(RECEIVE_BYTES)
         self.protocol.receive_data(data)
 
 
 def check_head(head: h11.Request, limits: forwarding.CallerLimits) -> None:
-    """Refuses a head that is too large or can be read in two ways.
+    """Rejects a head that is too large or ambiguous (request smuggling).
 
     With both a length and a transfer coding, this router and the upstream
-    might disagree on where the body ends; what one takes for the end of a
-    body the other would run as a request that no caller sent.
+    may disagree on where the body ends: bytes that one takes for the end of
+    the body the other would execute as a request that no caller sent.
 
     Raises:
-        RequestError: It is refused.
+        RequestError: The head is rejected.
     """
     size = sum(len(name) + len(value) + 4 for name, value in head.headers)
     if size + len(head.target) > limits.header_bytes:
@@ -126,11 +128,11 @@
         raise error
     names = {bytes(name) for name, _ in head.headers}
     if b'content-length' in names and b'transfer-encoding' in names:
-        raise errors.RequestInvalid('both a length and a transfer coding')
+        raise errors.RequestInvalid('both content-length and transfer-encoding')
 
 
-def unreadable(cause: h11.RemoteProtocolError) -> errors.RequestError:
-    """Returns the error for a request that is not HTTP/1.1."""
+def malformed_request(cause: h11.RemoteProtocolError) -> errors.RequestError:
+    """Returns the error for a request that is not valid HTTP/1.1."""
     error = errors.RequestInvalid(str(cause))
     if cause.error_status_hint == HEADERS_TOO_LARGE_STATUS:
         error = errors.RequestTooLarge(str(cause))
@@ -138,8 +140,8 @@
     return error
 
 
-def too_slow(what: str) -> errors.RequestError:
+def request_timeout(part: str) -> errors.RequestError:
     """Returns the error for a request that did not arrive in time."""
-    error = errors.RequestInvalid(f'{what} did not arrive in time')
+    error = errors.RequestInvalid(f'{part} did not arrive in time')
     error.status = REQUEST_TIMEOUT_STATUS
     return error
--- a/lavenderbend/transport/caller_server.py
+++ b/lavenderbend/transport/caller_server.py
@@ -1,4 +1,4 @@
-"""The server that accepts callers' connections, and its stop."""
+"""The server that accepts callers' connections, and its graceful stop."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     ]
 
 BACKLOG = 1024
-# connections that waited for the router to start are accepted within this
-EARLY_SECONDS = 0.05
+# connections opened while the router started are accepted within this time
+EARLY_ACCEPT_SECONDS = 0.05
 
 REFUSED_CONNECTIONS = metrics.counter(
     'lavenderbend_caller_connections_refused_total',
@@ -42,14 +42,17 @@
 
     Attributes:
         handler: Answers one request.
-        limits: Returns the limits in force.
+        limits: Returns the current limits.
         max_connections: Connections beyond this are closed at once.
-        stopping: Whether answers tell callers to close their connections.
-        connections: Those open now.
-        accepting: Cancelled to take no new connections.
-        waiting_since: Router clock from which callers may have waited for
-            this router to start.
-        early_until: Router clock until which such callers are accepted.
+        stopping: Whether answers ask callers to close their connections.
+        closing_idle: Whether idle connections are closed at once.
+        connections: Open connections.
+        accept_scope: Cancelled to stop accepting connections.
+        all_closed: Set when the last connection closes.
+        waiting_since: Router clock since which callers may have been waiting
+            for this router to start.
+        early_until: Router clock until which connections opened during the
+            start are accepted.
     """
 
     def __init__(
@@ -63,9 +66,9 @@
         self.max_connections = max_connections
         self.stopping = False
         self.closing_idle = False
-        self.accepting = trio.CancelScope()
+        self.accept_scope = trio.CancelScope()
         self.connections: set[caller_connections.CallerConnection] = set()
-        self.empty = trio.Event()
+        self.all_closed = trio.Event()
         self.waiting_since = 0.0
         self.early_until = 0.0
 
@@ -75,30 +78,30 @@
         port: int,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves until cancelled; starts with the bound port."""
+        """Serves until cancelled; `task_status` gets the bound port."""
         listeners = await self.open_listeners(host, port)
         bound = listeners[0].socket.getsockname()[1]
         async with trio.open_nursery() as nursery:
-            with self.accepting:
+            with self.accept_scope:
                 await trio.serve_listeners(
                     self.serve_connection,
                     listeners,
                     handler_nursery=nursery,
-                    task_status=StartedWith(task_status, bound),
+                    task_status=PortStatus(task_status, bound),
                 )
 
     async def open_listeners(
         self, host: str, port: int
     ) -> list[trio.SocketListener]:
-        """Returns what to accept from, opened at the process's start or now."""
-        early = early_listener.take(host, port)
+        """Returns the early listener of the address, or opens new listeners."""
+        early = early_listener.take_listener(host, port)
         if early is None:
             return await trio.open_tcp_listeners(
                 port, host=host, backlog=BACKLOG
             )
         now = trio.current_time()
         self.waiting_since = now - early.waited_seconds
-        self.early_until = now + EARLY_SECONDS
+        self.early_until = now + EARLY_ACCEPT_SECONDS
         listening = trio.socket.from_stdlib_socket(early.socket)
         return [trio.SocketListener(listening)]
 
@@ -115,46 +118,46 @@
         except caller_answers.CONNECTION_ERRORS:
             pass
         except Exception as exc:
-            # a fault of this program in one request must not end the
-            # requests of all other callers with it
+            # a bug that one request triggers must not end the requests of
+            # all other callers
             FAULTS.inc({})
             logs.fault('caller_connection_failed', exc)
         finally:
             stream.socket.close()
             self.connections.discard(connection)
             if not self.connections:
-                self.empty.set()
+                self.all_closed.set()
 
     def begin_stop(self) -> None:
-        """Tells callers, with each answer, to close their connections."""
+        """Asks callers, with each answer, to close their connections."""
         self.stopping = True
 
     def close_idle(self) -> None:
-        """Takes no new connections, and closes those without a request.
+        """Stops accepting connections, and closes those without a request.
 
-        The balancer sends callers to a router that stops if too few others
-        are left. What would be taken late in the stop could not end before
-        it; a caller that is refused goes on to another router.
+        The load balancer sends callers to a stopping router if too few others
+        are left. A request accepted late in the stop could not end before the
+        process does; a caller whose connection is refused uses another router.
         """
         self.closing_idle = True
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         for connection in self.connections:
             connection.idle_scope.cancel()
 
-    async def wait_empty(self) -> None:
+    async def wait_all_closed(self) -> None:
         """Waits until no connection is open."""
         while self.connections:
-            self.empty = trio.Event()
-            await self.empty.wait()
+            self.all_closed = trio.Event()
+            await self.all_closed.wait()
 
 
-class StartedWith:
-    """Tells who waits for a listener the port that it is bound to."""
+class PortStatus:
+    """A task status that reports the port that a listener is bound to."""
 
-    def __init__(self, task_status: trio.TaskStatus[int], value: int) -> None:
+    def __init__(self, task_status: trio.TaskStatus[int], port: int) -> None:
         self.task_status = task_status
-        self.value = value
+        self.port = port
 
     def started(self, _: object = None) -> None:
-        """Passes the port on."""
-        self.task_status.started(self.value)
+        """Reports the port."""
+        self.task_status.started(self.port)
--- a/lavenderbend/transport/callers.py
+++ b/lavenderbend/transport/callers.py
@@ -1,4 +1,4 @@
-"""The interface for callers: OpenAI-compatible chats and plain services."""
+"""The ASGI application for callers: OpenAI-compatible chats and services."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
 # key in the ASGI scope of a request: the body that relays its answer
 ANSWER_BODY = 'lavenderbend.answer_body'
 
-# headers of the connection, the credential, and those that the router sets
-# itself, which a caller must not be able to forge
+# not forwarded: headers of the connection, the credential, and headers that
+# the router sets itself and that a caller must not be able to forge
 DROPPED_HEADERS = frozenset(
     (
         'accept-encoding',
@@ -65,7 +65,7 @@
 
 
 class InternalError(errors.RequestError):
-    """The router itself failed; the request may have run."""
+    """The router failed; the request may have been executed."""
 
     outcome = errors.Outcome.UNKNOWN
     status = 500
@@ -73,7 +73,7 @@
 
 
 def read_headers(scope: Mapping[str, Any]) -> dict[str, str]:
-    """Returns the caller's headers, names in lower case."""
+    """Returns the caller's headers with lower-case names."""
     headers: dict[str, str] = {}
     for raw_name, raw_value in scope['headers']:
         name = raw_name.decode('latin-1').lower()
@@ -92,17 +92,18 @@
 
 
 class CallerApp:
-    """The ASGI application that callers talk to.
+    """The ASGI application that serves callers.
 
     Attributes:
         dispatcher: Answers requests.
-        configurations: Knows the customers.
+        configurations: Provides the configuration with the customers.
         limits: Limits on requests.
-        availability_zone: Zone of this router.
-        credentials: Finds customers.
-        membership_ready: Set once the VMs are known; not ready before.
-        stopping: Whether the router is about to stop.
-        app: The application of quart.
+        availability_zone: Availability zone of this router.
+        credentials: Finds the customer of a credential.
+        membership_ready: Set once the VMs are known; the router is not ready
+            before that.
+        stopping: Whether the router is stopping.
+        app: The quart application.
     """
 
     def __init__(
@@ -123,7 +124,7 @@
         self.app = self.make_app()
 
     def make_app(self) -> quart_trio.QuartTrio:
-        """Returns the application of quart."""
+        """Returns the quart application."""
         app = quart_trio.QuartTrio('lavenderbend', static_folder=None)
         app.config['MAX_CONTENT_LENGTH'] = self.limits.body_bytes
         app.config['BODY_TIMEOUT'] = self.limits.body_seconds
@@ -146,28 +147,28 @@
         try:
             await self.app(scope, receive, send)
         except* answer_bodies.BrokenOff:
-            # the answer was cut off on purpose: returning without its end
-            # makes hypercorn close the connection, and the caller sees that
-            # the answer is not whole
+            # the answer is left incomplete on purpose: returning without the
+            # last body message makes hypercorn close the connection, and the
+            # caller sees that the answer is incomplete
             pass
         finally:
-            # quart enters the body after it has sent the head. Cancelled
-            # there, as its caller left, a request would keep its permit and
-            # its upstream would work on for nobody
+            # quart enters the body after it has sent the head. If the request
+            # is cancelled in between because its caller disconnected, it would
+            # keep its permit and its upstream would continue to work
             body = scope.get(ANSWER_BODY)
             if body is not None:
                 await body.close(errors.CallerGone.__name__)
 
     def begin_stop(self) -> None:
-        """Fails readiness and asks callers to close their connections."""
+        """Reports not ready and asks callers to close their connections."""
         self.stopping = True
 
     async def healthz(self) -> quart.Response:
-        """Says that the process runs."""
+        """Answers the liveness check."""
         return quart.Response('ok\n', content_type='text/plain')
 
     async def readyz(self) -> quart.Response:
-        """Says whether the balancer should send requests here."""
+        """Answers the readiness check of the load balancer."""
         if self.stopping:
             return self.problem(errors.RouterStopping('stopping'), '')
         try:
@@ -180,7 +181,7 @@
         return quart.Response('ready\n', content_type='text/plain')
 
     async def forward(self, path: str = '') -> quart.Response:
-        """Answers a request by way of the dispatcher."""
+        """Answers a request through the dispatcher."""
         request_id = uuid.uuid4().hex
         scope = quart.request.scope
         headers = read_headers(scope)
@@ -194,7 +195,7 @@
             return self.problem(exc, request_id)
         except Exception as exc:
             hop.end(type(exc).__name__)
-            return self.tell_internal(exc, request_id)
+            return self.internal_problem(exc, request_id)
         except BaseException as exc:
             hop.end(type(exc).__name__)
             raise
@@ -207,7 +208,7 @@
         request_id: str,
         hop: spans.Hop,
     ) -> requests.Request:
-        """Reads the request whole; the credential is checked first."""
+        """Reads the complete request; the credential is checked first."""
         arrived = trio.current_time()
         customer = self.credentials.customer(
             self.configurations.current(), headers.get('authorization')
@@ -217,18 +218,18 @@
         chat = None
         if path == openai.CHAT_PATH and scope['method'] == 'POST':
             chat = openai.parse(body)
-        passed = {
+        forwarded = {
             name: value
             for name, value in headers.items()
             if name not in DROPPED_HEADERS
         }
-        passed.update(hop.headers)
+        forwarded.update(hop.headers)
         return requests.Request(
             id=request_id,
             customer=customer,
             method=scope['method'],
             path=path,
-            headers=passed,
+            headers=forwarded,
             body=body,
             arrived=arrived,
             model=chat.model if chat else None,
@@ -250,7 +251,7 @@
             ) from exc
         except exceptions.RequestTimeout as exc:
             raise errors.RequestInvalid(
-                'the body did not come in time'
+                'the body did not arrive in time'
             ) from exc
 
     def respond(
@@ -260,7 +261,7 @@
         body = answer_bodies.AnswerBody(answer, request_id, hop)
         quart.request.scope[ANSWER_BODY] = body
         response = quart.Response(body, status=answer.status)
-        # without this quart would end the response after its own timeout
+        # otherwise quart would end the response after its own timeout
         response.timeout = None
         response.headers.clear()
         for name, value in answer.headers.items():
@@ -272,7 +273,7 @@
     def problem(
         self, error: errors.RequestError, request_id: str
     ) -> quart.Response:
-        """Returns the response that tells of an error."""
+        """Returns the response that reports an error as problem details."""
         response = quart.Response(
             problems.to_body(error, request_id), status=error.status
         )
@@ -283,29 +284,31 @@
         return self.finish_headers(response)
 
     def finish_headers(self, response: quart.Response) -> quart.Response:
-        """Asks the caller to leave the connection if the router stops."""
-        # an idle connection that is closed as the caller sends its next
-        # request loses that request; callers that were asked have left
+        """Asks the caller to close its connection if the router stops."""
+        # if the router closes an idle connection while the caller sends its
+        # next request, that request is lost; callers that got this header
+        # have closed the connection by then
         if self.stopping:
             response.headers['connection'] = 'close'
         return response
 
     async def refuse(self, error: exceptions.HTTPException) -> quart.Response:
-        """Answers what quart itself refuses."""
+        """Answers a request that quart itself rejects."""
         refusal = errors.RequestInvalid(error.name)
         refusal.status = error.code or refusal.status
         return self.problem(refusal, '')
 
     async def fail(self, error: Exception) -> quart.Response:
-        """Answers a fault of the router outside any request."""
-        return self.tell_internal(error, '')
+        """Answers an unexpected error outside the handling of a request."""
+        return self.internal_problem(error, '')
 
-    def tell_internal(
+    def internal_problem(
         self, error: Exception, request_id: str
     ) -> quart.Response:
-        """Answers a fault of the router without telling its insides."""
+        """Answers an unexpected error without exposing internal details."""
         internal_errors.inc({'error': type(error).__name__})
-        # a fault of the program itself, which no counter can explain
+        # a bug in the router: a counter does not explain it, so the traceback
+        # is logged
         lines = traceback.format_exception(error)
         logs.change('internal_error', id=request_id, traceback=''.join(lines))
         return self.problem(InternalError('the router failed'), request_id)
--- a/lavenderbend/transport/early_listener.py
+++ b/lavenderbend/transport/early_listener.py
@@ -1,7 +1,7 @@
 """Listens for callers before the libraries of the router are loaded.
 
-Imports nothing but the standard library's sockets: it is what the process does
-first.
+Imports only the standard library: the process calls it before it imports
+anything else.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 
 
 class EarlyListener:
-    """A listening socket that nobody accepts from yet.
+    """A listening socket from which no connection is accepted yet.
 
-    After all VMs lost power there is no other router to go to. A router loads
-    its libraries for 0.3 to 0.5 s; a caller that comes meanwhile was refused,
-    and has one try left. Here its connection waits that long and its request
-    is answered, most often within its target.
+    After all VMs have lost power, a caller has no other router to use. A
+    router takes 0.3 to 0.5 s to import its libraries; without this socket, a
+    caller that connects meanwhile is refused and has one retry left. With it,
+    the connection waits in the backlog and the request is answered, most often
+    within its target.
 
     Attributes:
-        host: IP number to which it is bound.
+        host: IP address to which it is bound.
         port: Its port.
         socket: The socket.
-        bound_at: Moment of binding, by the performance counter.
+        bound_at: `time.perf_counter()` at which it was bound.
     """
 
     def __init__(self, host: str, port: int) -> None:
@@ -41,36 +42,36 @@
 
     @property
     def waited_seconds(self) -> float:
-        """Time that a caller may have waited."""
+        """Seconds since binding: the longest time a caller can have waited."""
         return time.perf_counter() - self.bound_at
 
 
 opened: list[EarlyListener] = []
 
 
-def open_named() -> None:
-    """Listens at the address that the environment names, if it names one."""
+def open_from_environment() -> None:
+    """Listens at the address in the environment variable, if it is set."""
     address = os.environ.get(ADDRESS_VARIABLE)
     if not address:
         return
     host, _, port = address.rpartition(':')
     if not host or not port.isdigit():
-        sys.exit(f'{ADDRESS_VARIABLE}: {address!r} is no HOST:PORT')
+        sys.exit(f'{ADDRESS_VARIABLE}: {address!r} is not HOST:PORT')
     try:
         opened.append(EarlyListener(host, int(port)))
     except OSError as exc:
-        # the router binds the address of its settings itself, and ends with
-        # an error if that one cannot be had
+        # not fatal: the router later binds the address in its settings itself,
+        # and exits with an error if that fails
         print(f'{ADDRESS_VARIABLE}: {address}: {exc}', file=sys.stderr)
 
 
-def take(host: str, port: int) -> EarlyListener | None:
-    """Returns the listener of an address, once; closes one of another."""
-    found = None
+def take_listener(host: str, port: int) -> EarlyListener | None:
+    """Returns and removes the listener of an address; closes any other."""
+    match = None
     while opened:
-        one = opened.pop()
-        if (one.host, one.port) == (host, port):
-            found = one
+        listener = opened.pop()
+        if (listener.host, listener.port) == (host, port):
+            match = listener
         else:
-            one.socket.close()
-    return found
+            listener.socket.close()
+    return match
--- a/lavenderbend/transport/early_signals.py
+++ b/lavenderbend/transport/early_signals.py
@@ -1,6 +1,7 @@
-"""Keeps signals that come before the router can act on them.
+"""Defers signals that arrive before the router has installed its handlers.
 
-Imports nothing but the standard library: it is what the process does first.
+Imports only the standard library: the process calls it before it imports
+anything else.
 """
 
 from __future__ import annotations
@@ -12,36 +13,38 @@
     from collections.abc import Collection
     from types import FrameType
 
-# a router that loads its libraries for 0.3 to 0.5 s would end by any of these,
-# and cut off the callers whose connections wait for it
-HELD = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
+# by default each of these ends the process; a router takes 0.3 to 0.5 s to
+# import its libraries, and callers whose connections wait for it would be
+# disconnected
+DEFERRED = (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)
 
-came: list[int] = []
+pending: list[int] = []
 
 
-def hold() -> None:
-    """Keeps signals from now on."""
-    for number in HELD:
-        signal.signal(number, note)
+def defer() -> None:
+    """Defers signals from now on."""
+    for number in DEFERRED:
+        signal.signal(number, record)
 
 
-def note(number: int, _frame: FrameType | None) -> None:
-    """Notes that a signal came."""
-    came.append(number)
+def record(number: int, _frame: FrameType | None) -> None:
+    """Records a signal; installed as signal handler."""
+    pending.append(number)
 
 
-def take(handled: Collection[int]) -> list[int]:
-    """Returns the signals that came, once there are handlers for them.
+def take_pending(handled: Collection[int]) -> list[int]:
+    """Returns the deferred signals, once the program handles signals itself.
 
     Args:
-        handled: Signals that the program handles; others act as usual again.
+        handled: Signals that the program handles. The default action of the
+            others is restored, and taken if they were deferred.
     """
-    for number in HELD:
-        if number not in handled and signal.getsignal(number) is note:
+    for number in DEFERRED:
+        if number not in handled and signal.getsignal(number) is record:
             signal.signal(number, signal.SIG_DFL)
-    found = list(came)
-    came.clear()
-    for number in found:
+    received = list(pending)
+    pending.clear()
+    for number in received:
         if number not in handled:
             signal.raise_signal(number)
-    return found
+    return received
--- a/lavenderbend/transport/header_limits.py
+++ b/lavenderbend/transport/header_limits.py
@@ -1,4 +1,4 @@
-"""The limit on the size of a request's header."""
+"""Limits the size of request headers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def header_bytes(scope: Any) -> int:
-    """Returns the size of a request's target and headers."""
+    """Returns the size of a request's target and headers in bytes."""
     size = len(scope['raw_path']) + len(scope['query_string'])
     for name, value in scope['headers']:
         size += len(name) + len(value)
@@ -23,14 +23,14 @@
 
 
 class HeaderLimit:
-    """An ASGI application that refuses requests with large headers.
+    """ASGI middleware that rejects requests with large headers.
 
-    h11 bounds only what it holds of an incomplete header: one that comes
-    whole in a single read gets past it.
+    h11 only limits the size of an incomplete header that it buffers: a header
+    that arrives complete in a single read is not limited by it.
 
     Attributes:
-        app: The application behind it.
-        limit: Bytes.
+        app: The wrapped application.
+        limit: Maximum size of target and headers in bytes.
     """
 
     def __init__(self, app: Callable[..., Any], limit: int) -> None:
--- a/lavenderbend/transport/http_calls.py
+++ b/lavenderbend/transport/http_calls.py
@@ -1,4 +1,4 @@
-"""Calls to one HTTP/1.1 server on one kept connection, by h11."""
+"""Calls to one HTTP/1.1 server on one persistent connection, by h11."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lavenderbend.transport import socket_options
 
 RECEIVE_BYTES = 256 * 1024
-BROKEN = (
+CONNECTION_ERRORS = (
     h11.ProtocolError,
     trio.BrokenResourceError,
     trio.ClosedResourceError,
@@ -26,7 +26,7 @@
 
     Attributes:
         status: HTTP status.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
@@ -34,13 +34,14 @@
 
 
 class HttpCaller:
-    """Makes one call at a time.
+    """Makes calls to one server, one at a time.
 
     Attributes:
-        host: IP number of the server.
+        host: IP address of the server.
         port: Its port.
-        timeout_seconds: A call without an answer after this has failed.
-        stream: The kept connection, None if there is none.
+        timeout_seconds: Timeout of a call.
+        stream: The persistent connection, None if there is none.
+        protocol: HTTP/1.1 state of the connection.
     """
 
     def __init__(self, host: str, port: int, timeout_seconds: float) -> None:
@@ -54,12 +55,12 @@
         """Returns the answer to a GET.
 
         Raises:
-            KeyValueUnavailable: There was none in time.
+            KeyValueUnavailable: There was no answer within the timeout.
         """
         try:
             with trio.fail_after(self.timeout_seconds):
                 answer = await self.call(target)
-        except (*BROKEN, trio.TooSlowError) as exc:
+        except (*CONNECTION_ERRORS, trio.TooSlowError) as exc:
             self.close()
             cause = f'{type(exc).__name__}: {exc}'
             raise errors.KeyValueUnavailable(cause) from exc
@@ -69,8 +70,8 @@
         return answer
 
     async def call(self, target: str) -> CallAnswer:
-        """Makes the call on the kept connection, or on a new one."""
-        stream = await self.connected()
+        """Makes the call on the open connection, or on a new one."""
+        stream = await self.ensure_connected()
         request = h11.Request(
             method='GET',
             target=target,
@@ -87,8 +88,8 @@
         self.close()
         return answer
 
-    async def connected(self) -> trio.SocketStream:
-        """Returns the connection, opened if need be."""
+    async def ensure_connected(self) -> trio.SocketStream:
+        """Returns the connection; opens a new one if it cannot be reused."""
         if self.reusable():
             return self.stream
         self.close()
@@ -98,10 +99,11 @@
         return self.stream
 
     def reusable(self) -> bool:
-        """Returns whether the kept connection may take a call.
+        """Returns whether the open connection can carry another call.
 
-        Bytes behind the last answer, read or not, are its end or a second
-        answer: taken for the next call's, an old state would pass for new.
+        Bytes after the last answer, whether read or not, are the end of the
+        connection or a duplicate answer. Taken for the answer to the next
+        call, they would present outdated state as current.
         """
         if self.stream is None or self.protocol.trailing_data[0]:
             return False
@@ -123,7 +125,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 return CallAnswer(status, b''.join(parts))
             elif isinstance(event, h11.ConnectionClosed):
-                raise h11.RemoteProtocolError('closed before its answer')
+                raise h11.RemoteProtocolError(
+                    'connection closed before the answer'
+                )
 
     def close(self) -> None:
         """Closes the connection."""
--- a/lavenderbend/transport/serving.py
+++ b/lavenderbend/transport/serving.py
@@ -1,4 +1,4 @@
-"""Serves an ASGI application by hypercorn until it is told to stop."""
+"""Serves an ASGI application by hypercorn, with a graceful stop."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 from lavenderbend.observe import metrics
 from lavenderbend.protocol import http_limits
 from lavenderbend.transport import header_limits
-from lavenderbend.transport import stall_watch
+from lavenderbend.transport import stall_detector
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
     from collections.abc import Callable
 
 BACKLOG = 1024
-LAST_PART = 'http.response.body'
+BODY_MESSAGE = 'http.response.body'
 DEFAULT_GRACE_SECONDS = 900.0
-# time in which connections that the kernel has accepted are still taken
+# time for accepting connections still in the backlog before the listener closes
 LAST_ACCEPT_SECONDS = 0.05
 ACCEPT_PAUSE_SECONDS = 0.05
 # key in the state of an ASGI scope: a function that resets the connection
@@ -50,16 +50,16 @@
 
 
 class BoundedStream(trio.abc.HalfCloseableStream):
-    """A TCP stream whose writes end in time.
+    """A TCP stream whose writes are limited in time.
 
     Attributes:
-        stream: The stream of trio.
-        waiter: Noted while a write is in progress.
+        stream: The trio stream.
+        waiter: Records when a write in progress began.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
-        self.waiter = stall_watch.Waiter(self.reset)
+        self.waiter = stall_detector.Waiter(self.reset)
 
     @property
     def socket(self) -> trio.socket.SocketType:
@@ -67,9 +67,9 @@
         return self.stream.socket
 
     async def send_all(self, data: bytes) -> None:
-        """Sends all bytes, or breaks the connection off."""
-        # a caller that stops reading would hold its answer, its upstream
-        # and its permit for ever: hypercorn shields its writes
+        """Sends all bytes; the stall detector resets a blocked connection."""
+        # hypercorn shields its writes from cancellation: a caller that stops
+        # reading would keep its answer, its upstream and its permit forever
         self.waiter.since = trio.current_time()
         try:
             await self.stream.send_all(data)
@@ -83,7 +83,7 @@
         self.socket.close()
 
     async def abort(self) -> None:
-        """Resets the connection, so that nothing that was sent looks whole."""
+        """Resets the connection, so that no partial answer looks complete."""
         try:
             self.socket.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER
@@ -94,17 +94,18 @@
         await trio.aclose_forcefully(self.stream)
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Waits until a write may go through."""
+        """Waits until a write might not block."""
         await self.stream.wait_send_all_might_not_block()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Returns the next bytes, none at the end."""
+        """Returns the next bytes, empty at the end of the stream."""
         return await self.stream.receive_some(max_bytes)
 
     async def send_eof(self) -> None:
-        """Ends the sending side."""
-        # a connection is cancelled at the end of a stop's grace: unshielded,
-        # hypercorn's own closing fails and the other side waits for ever
+        """Closes the sending side."""
+        # connections are cancelled at the end of the grace period of a stop:
+        # without the shield, hypercorn could not close them and the other side
+        # would wait forever
         with trio.CancelScope(shield=True):
             await self.stream.send_eof()
 
@@ -115,15 +116,15 @@
 
 
 class Server:
-    """Connections of one address.
+    """Accepts and serves connections.
 
     Attributes:
-        app: The application as hypercorn takes it.
+        app: The application, wrapped for hypercorn.
         limits: Limits on connections.
         config: Settings of hypercorn.
-        context: Tells connections of the end.
-        watch: Ends writes that take too long.
-        open: Connections that are open now.
+        context: Hypercorn's worker context; signals the stop to connections.
+        stalls: Ends writes that take too long.
+        open: Number of open connections.
     """
 
     def __init__(self, app: Any, limits: http_limits.HttpLimits) -> None:
@@ -131,20 +132,20 @@
         self.config = make_config(limits)
         limited = header_limits.HeaderLimit(app, limits.header_bytes)
         size = self.config.wsgi_max_body_size
-        self.app = utils.wrap_app(shield_ends(limited), size, 'asgi')
+        self.app = utils.wrap_app(shield_last_message(limited), size, 'asgi')
         self.context = worker_context.WorkerContext(None)
-        self.watch = stall_watch.StallWatch(limits.send_seconds)
+        self.stalls = stall_detector.StallDetector(limits.send_seconds)
         self.open = 0
 
     async def accept(
         self, listener: trio.SocketListener, nursery: trio.Nursery
     ) -> None:
-        """Takes connections until cancelled."""
+        """Accepts connections until cancelled."""
         while True:
             try:
                 stream = await listener.accept()
             except OSError:
-                # out of file descriptors: they come back as requests end
+                # out of file descriptors: some become free as requests end
                 await trio.sleep(ACCEPT_PAUSE_SECONDS)
                 continue
             if self.open >= self.limits.connections:
@@ -157,8 +158,8 @@
     async def run_connection(self, stream: trio.SocketStream) -> None:
         """Serves one connection to its end."""
         bounded = BoundedStream(stream)
-        self.watch.add(bounded.waiter)
-        # an application finds this in the state of its scope
+        self.stalls.add(bounded.waiter)
+        # available to the application as state of the ASGI scope
         state = {ABORT: bounded.abort}
         size = self.limits.send_buffer_bytes
         try:
@@ -168,28 +169,29 @@
                 self.app, self.config, self.context, state, bounded
             ).run()
         except* (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
-            # the other side went away, which is its right
+            # the other side closed the connection
             pass
         except* Exception as group:
-            # such as an application that is cancelled while it sends the
-            # head of its answer: hypercorn then sends an error of its own on
-            # top, which h11 refuses. Unguarded, a fault of one connection
-            # ended the whole server and cut off every other one
+            # for example when an application is cancelled while it sends the
+            # head of its answer: hypercorn then also sends an error response,
+            # which h11 rejects. Uncaught, the error of one connection would
+            # end the server and all other connections
             for error in group.exceptions:
                 failed_connections.inc({'error': type(error).__name__})
             await bounded.abort()
         finally:
             self.open -= 1
-            self.watch.remove(bounded.waiter)
+            self.stalls.remove(bounded.waiter)
 
 
-def shield_ends(app: Callable[..., Any]) -> Callable[..., Any]:
-    """Returns the application with the last part of answers shielded.
+def shield_last_message(app: Callable[..., Any]) -> Callable[..., Any]:
+    """Returns the application with the last body message shielded.
 
-    Sending the last part makes hypercorn tell the application that the
-    exchange is over; quart then cancels the task that is still sending it,
-    before the connection is closed or made ready for its next request. The
-    connection stayed open for ever, and a stop waited for it.
+    When the last body message is sent, hypercorn signals the end of the
+    exchange to the application; quart then cancels the task that is still
+    sending it, before the connection is closed or prepared for its next
+    request. Without the shield, the connection would stay open forever and a
+    stop would wait for it.
     """
 
     async def shielded(scope: Any, receive: Any, send: Any) -> None:
@@ -197,9 +199,9 @@
             with trio.CancelScope(shield=True):
                 await send(message)
 
-        # no coroutine of its own: this is called for each streamed chunk
+        # not a coroutine, to save its cost: called for each streamed chunk
         def send_message(message: Any) -> Awaitable[None]:
-            if message['type'] != LAST_PART or message.get('more_body'):
+            if message['type'] != BODY_MESSAGE or message.get('more_body'):
                 return send(message)
             return send_last(message)
 
@@ -216,7 +218,7 @@
     config.keep_alive_timeout = limits.idle_seconds
     config.keep_alive_max_requests = 1_000_000
     config.include_server_header = False
-    # errors are counted and told to the caller; nothing goes to a log
+    # errors are counted and reported to the caller, not logged
     config.errorlog = None
     config.accesslog = None
     return config
@@ -236,13 +238,13 @@
 
     Args:
         app: An ASGI application.
-        host: IP number to bind.
-        port: Port to bind, 0 for any.
-        shutdown: Set to stop: the listener closes, idle connections close,
-            requests in progress go on.
+        host: IP address to bind.
+        port: Port to bind, 0 for any free port.
+        shutdown: Set to stop: the listener and idle connections are closed,
+            requests in progress continue.
         limits: Limits on connections.
-        grace_seconds: Longest time that requests in progress get; those
-            that take longer are broken off.
+        grace_seconds: Grace period for requests in progress; those that take
+            longer are cancelled.
         task_status: Gets the bound port.
     """
     server = Server(app, limits or http_limits.HttpLimits())
@@ -254,8 +256,8 @@
                 accepting.start_soon(server.accept, listener, connections)
             task_status.started(bound)
             await shutdown.wait()
-            # connections that the kernel took before the listener closes
-            # would be reset, and their requests lost
+            # connections in the backlog when the listener closes would be
+            # reset, and their requests lost
             await trio.sleep(LAST_ACCEPT_SECONDS)
             accepting.cancel_scope.cancel()
         for listener in listeners:
--- a/lavenderbend/transport/socket_options.py
+++ b/lavenderbend/transport/socket_options.py
@@ -1,4 +1,4 @@
-"""TCP sockets that carry requests: how they are opened and set."""
+"""Opens TCP connections for requests and sets their socket options."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from lavenderbend.state import upstreams
 
-# a peer whose VM lost power, or whose path is cut, answers nothing: without
-# these a connection to it would stay open, and its request hang, for minutes
+# without these options, a connection to a peer whose VM lost power or whose
+# network path is down would stay open, and its request hang, for minutes
 USER_TIMEOUT_MILLISECONDS = 2000
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
@@ -21,10 +21,10 @@
 
 
 async def connect(host: str, port: int) -> trio.SocketStream:
-    """Opens a connection to an IP number.
+    """Opens a connection to an IP address.
 
     Raises:
-        OSError: There is none to be had.
+        OSError: The connection cannot be opened.
     """
     family = socket.AF_INET6 if ':' in host else socket.AF_INET
     connection = trio.socket.socket(family, socket.SOCK_STREAM)
@@ -39,10 +39,10 @@
 async def connect_upstream(
     vm: upstreams.Vm, seconds: float
 ) -> trio.SocketStream:
-    """Opens a connection to an upstream within some seconds.
+    """Opens a connection to an upstream, with a timeout in seconds.
 
     Raises:
-        UpstreamUnreachable: There is none to be had.
+        UpstreamUnreachable: The connection cannot be opened in time.
     """
     try:
         with trio.fail_after(seconds):
@@ -54,7 +54,7 @@
 
 
 def prepare(connection: trio.socket.SocketType) -> None:
-    """Sets a connection to send at once and to notice a silent peer."""
+    """Disables send coalescing and enables detection of dead peers."""
     tcp = socket.IPPROTO_TCP
     connection.setsockopt(tcp, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/lavenderbend/transport/stall_watch.py
+++ b/lavenderbend/transport/stall_detector.py
@@ -1,4 +1,4 @@
-"""Ends connections on which nothing comes for too long."""
+"""Detects connections that make no progress, and aborts them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TICKS_PER_LIMIT = 8
+CHECKS_PER_LIMIT = 8
 
 
 class Waiter:
-    """One connection that may wait for its other side.
+    """The waiting state of one connection.
 
-    A task notes in `since` when it begins to wait, and None when it goes
-    on. A cancel scope for each wait would do the same; entering and leaving
-    one costs a fifth of what a streamed chunk costs altogether.
+    A task sets `since` when it begins to wait for the other side, and resets
+    it to None afterwards. A cancel scope for each wait would do the same, but
+    entering and leaving one takes a fifth of the total cost of a streamed
+    chunk.
 
     Attributes:
         since: Router clock since which it waits, None if it does not.
-        expired: Whether it waited too long.
-        abort: Breaks the connection off, which ends the wait.
+        expired: Whether a wait exceeded the limit.
+        abort: Closes the connection, which ends the wait.
     """
 
     __slots__ = ('abort', 'expired', 'since')
@@ -33,12 +34,14 @@
         self.abort = abort
 
 
-class StallWatch:
-    """Looks at all waiters now and then.
+class StallDetector:
+    """Checks all waiters periodically and ends waits that take too long.
 
     Attributes:
-        limit: Seconds that a wait may take; it ends up to an eighth later.
-        waiters: The open connections.
+        limit: Maximum duration of a wait in seconds; a wait is ended up to an
+            eighth of it later.
+        waiters: Waiters of the open connections.
+        running: Whether the periodic check is running.
     """
 
     def __init__(self, limit: float) -> None:
@@ -47,38 +50,38 @@
         self.running = False
 
     def add(self, waiter: Waiter) -> None:
-        """Watches a connection from now on."""
+        """Adds a connection to the checked ones."""
         self.waiters.add(waiter)
         if not self.running:
             self.running = True
             trio.lowlevel.spawn_system_task(self.run)
 
     def remove(self, waiter: Waiter) -> None:
-        """Watches a connection no longer."""
+        """Removes a connection from the checked ones."""
         self.waiters.discard(waiter)
 
     async def run(self) -> None:
-        """Ends waits that are too long, while there is any connection."""
+        """Checks periodically while there is any connection."""
         try:
             while self.waiters:
-                await trio.sleep(self.limit / TICKS_PER_LIMIT)
+                await trio.sleep(self.limit / CHECKS_PER_LIMIT)
                 self.check(trio.current_time() - self.limit)
         finally:
             self.running = False
 
     def check(self, oldest: float) -> None:
-        """Ends the waits that began before a time."""
+        """Ends the waits that began at or before a router clock."""
         for waiter in tuple(self.waiters):
             if waiter.since is not None and waiter.since <= oldest:
                 waiter.since = None
                 waiter.expired = True
-                self.end(waiter)
+                self.abort(waiter)
 
-    def end(self, waiter: Waiter) -> None:
-        """Ends one wait."""
+    def abort(self, waiter: Waiter) -> None:
+        """Aborts one connection."""
         try:
             waiter.abort()
         except OSError:
-            # closed by its own task in the meantime; an error in this task
-            # would end the whole process
+            # closed by its own task in the meantime; an error in this system
+            # task would end the process
             return
--- a/lavenderbend/transport/tls.py
+++ b/lavenderbend/transport/tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS of peer links, with files that may change while they run."""
+"""Mutual TLS for peer links, with reload of changed certificate files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Returns whether the address can only be reached from this VM."""
+    """Returns whether a host is a loopback address."""
     if host == 'localhost':
         return True
     try:
@@ -30,19 +30,19 @@
     """Checks that peers may be served at an address.
 
     Raises:
-        PeerTlsRequired: It is beyond loopback, there is no TLS, and the
-            settings do not allow that by name.
+        PeerTlsRequired: The address is not loopback, there is no TLS, and the
+            settings do not explicitly allow plain peer links.
     """
     if tls is not None or allow_plain or is_loopback(host):
         return
     raise errors.PeerTlsRequired(
         f'peers would be served at {host} without mutual TLS; give the '
-        'certificate files, or allow plain peer links by name'
+        'certificate files, or explicitly allow plain peer links'
     )
 
 
 def peer_names(certificate: dict) -> frozenset[str]:
-    """Returns the names in a certificate read by `getpeercert`."""
+    """Returns the names in a certificate, given as by `getpeercert`."""
     names = set()
     for kind, value in certificate.get('subjectAltName', ()):
         if kind in {'DNS', 'IP Address'}:
@@ -55,100 +55,103 @@
 
 
 class PeerTls:
-    """Certificate, key and authorities of one router.
+    """Certificate, key and certificate authorities of one router.
 
-    The files are looked at whenever a connection begins. New contents hold
-    for new connections; old ones run on with what they began with.
+    The files are checked for changes whenever a connection is opened. New
+    contents apply to new connections; established ones are not affected.
 
     Attributes:
         certificate: Path of the certificate chain (PEM).
         key: Path of its private key (PEM).
-        ca: Path of the authorities that peers' certificates come from.
-        generation: Counts the contents that have been taken into use.
+        ca: Path of the certificate authorities that sign peers' certificates.
+        generation: Number of times that the files have been loaded.
+        reload_failing: Whether the last reload failed.
+        loaded_state: State of the files that are in use.
     """
 
     def __init__(self, certificate: str, key: str, ca: str) -> None:
         """Reads the files.
 
         Raises:
-            TlsFilesInvalid: They cannot be read or do not fit together.
+            TlsFilesInvalid: They cannot be read or do not match.
         """
         self.certificate = certificate
         self.key = key
         self.ca = ca
         self.generation = 0
-        self.failing = False
-        self.seen: tuple = ()
+        self.reload_failing = False
+        self.loaded_state: tuple = ()
         self.server: ssl.SSLContext
         self.client: ssl.SSLContext
-        self.load(self.stamp())
+        self.load(self.file_state())
 
     def server_context(self) -> ssl.SSLContext:
-        """Returns the context for peers that connect to us."""
+        """Returns the context for connections from peers."""
         self.refresh()
         return self.server
 
     def client_context(self) -> ssl.SSLContext:
-        """Returns the context for peers that we connect to."""
+        """Returns the context for connections to peers."""
         self.refresh()
         return self.client
 
-    def stamp(self) -> tuple:
-        """Returns what changes when one of the files does.
+    def file_state(self) -> tuple:
+        """Returns modification time, size and inode of each file.
 
         Raises:
-            TlsFilesInvalid: One of them cannot be looked at.
+            TlsFilesInvalid: The attributes of a file cannot be read.
         """
-        stamps = []
+        states = []
         for path in (self.certificate, self.key, self.ca):
             try:
                 status = os.stat(path)
             except OSError as exc:
                 raise errors.TlsFilesInvalid(f'{path}: {exc}') from exc
-            stamps.append((status.st_mtime_ns, status.st_size, status.st_ino))
-        return tuple(stamps)
+            states.append((status.st_mtime_ns, status.st_size, status.st_ino))
+        return tuple(states)
 
     def refresh(self) -> None:
-        """Takes changed files into use, if they are whole."""
+        """Loads the files if they have changed and are consistent."""
         try:
-            stamp = self.stamp()
-            if stamp == self.seen:
+            state = self.file_state()
+            if state == self.loaded_state:
                 return
-            self.load(stamp)
+            self.load(state)
         except errors.TlsFilesInvalid as exc:
-            # the files are replaced one after the other: between two of
-            # them certificate and key do not fit. The old contexts serve
-            # until the files fit again, so no connection fails meanwhile.
+            # the files are replaced one after the other, and in between the
+            # certificate and the key do not match. The old contexts are used
+            # until they do, so that no connection fails meanwhile.
             RELOADS.inc({'result': 'failed'})
-            if not self.failing:
+            if not self.reload_failing:
                 logs.change('peer_tls_reload_failed', error=str(exc))
-            self.failing = True
+            self.reload_failing = True
             return
-        self.failing = False
+        self.reload_failing = False
         RELOADS.inc({'result': 'done'})
         logs.change('peer_tls_reloaded', generation=self.generation)
 
-    def load(self, stamp: tuple) -> None:
+    def load(self, state: tuple) -> None:
         """Builds both contexts from the files.
 
         Raises:
-            TlsFilesInvalid: They cannot be read or do not fit together.
+            TlsFilesInvalid: They cannot be read or do not match.
         """
         server = self.build(ssl.PROTOCOL_TLS_SERVER)
         client = self.build(ssl.PROTOCOL_TLS_CLIENT)
         self.server = server
         self.client = client
-        self.seen = stamp
+        self.loaded_state = state
         self.generation += 1
 
     def build(self, protocol: int) -> ssl.SSLContext:
-        """Returns a context that asks for and checks certificates.
+        """Returns a context that requires and verifies peer certificates.
 
         Raises:
-            TlsFilesInvalid: The files cannot be read or do not fit.
+            TlsFilesInvalid: The files cannot be read or do not match.
         """
         context = ssl.SSLContext(protocol)
-        # names are router ids, compared by the link with the hello
+        # the names are router ids; the link compares them with the id in the
+        # hello message
         context.check_hostname = False
         context.verify_mode = ssl.CERT_REQUIRED
         context.minimum_version = ssl.TLSVersion.TLSv1_3
--- a/lavenderbend/transport/upstream_connections.py
+++ b/lavenderbend/transport/upstream_connections.py
@@ -10,7 +10,7 @@
 from lavenderbend import errors
 from lavenderbend.transport import answer_heads
 from lavenderbend.transport import socket_options
-from lavenderbend.transport import stall_watch
+from lavenderbend.transport import stall_detector
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 RECEIVE_BYTES = 64 * 1024
 CONNECT_SECONDS = 1.0
-KEPT_SECONDS = 15.0
+MAX_IDLE_SECONDS = 15.0
 
 
 class UpstreamConnection:
@@ -28,14 +28,14 @@
     Attributes:
         stream: The TCP stream.
         protocol: The HTTP/1.1 state of the connection.
-        waiter: Noted while the upstream is waited for.
-        idle_since: Router clock at which the last answer ended.
+        waiter: Records since when the connection waits for the upstream.
+        idle_since: Router clock at which the connection became idle.
     """
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self.protocol = h11.Connection(h11.CLIENT)
-        self.waiter = stall_watch.Waiter(self.abort)
+        self.waiter = stall_detector.Waiter(self.abort)
         self.idle_since = 0.0
 
     def abort(self) -> None:
@@ -43,7 +43,7 @@
         self.stream.socket.close()
 
     async def send(self, request: h11.Request, body: bytes) -> None:
-        """Sends a whole request in one write."""
+        """Sends a complete request in one write."""
         protocol = self.protocol
         data = protocol.send(request)
         if body:
@@ -54,11 +54,16 @@
     async def receive(
         self, wait_to_read: Callable[[], float] | None = None
     ) -> None:
-        """Reads what has come into the protocol, waiting if need be."""
+        """Waits for bytes and reads them into the protocol state.
+
+        Args:
+            wait_to_read: Returns seconds to wait before reading, so that more
+                bytes are read at once; called when bytes are available.
+        """
         waiter = self.waiter
         if waiter.expired:
-            # closed in the turn in which the bytes before came
-            raise trio.ClosedResourceError('closed by the stall watch')
+            # closed in the same turn of the event loop as the previous read
+            raise trio.ClosedResourceError('closed by the stall detector')
         waiter.since = trio.current_time()
         if wait_to_read is not None:
             await trio.lowlevel.wait_readable(self.stream.socket)
@@ -73,8 +78,8 @@
         """Returns the head of the answer."""
         return await answer_heads.next_head(self.protocol, self.receive)
 
-    def read_ready(self, parts: list[bytes]) -> bool:
-        """Adds the data that is already here; returns whether it ended."""
+    def read_available(self, parts: list[bytes]) -> bool:
+        """Appends the data received so far; returns whether it is complete."""
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
@@ -85,12 +90,12 @@
                 return True
 
     def reusable(self) -> bool:
-        """Returns whether an idle connection may be used again.
+        """Returns whether an idle connection can carry another request.
 
-        Bytes on an idle connection are its end, or a late answer to a
-        request that was given up: neither may meet the next request.
+        Bytes on an idle connection are its end or a late answer to an
+        abandoned request; neither must be taken for the next answer.
         """
-        fresh = trio.current_time() - self.idle_since < KEPT_SECONDS
+        fresh = trio.current_time() - self.idle_since < MAX_IDLE_SECONDS
         return fresh and not self.stream.socket.is_readable()
 
 
@@ -102,20 +107,20 @@
 )
 
 
-def lost(
+def connection_lost(
     connection: UpstreamConnection, cause: Exception
 ) -> errors.UpstreamBroke:
-    """Returns the error for an exchange that broke off."""
+    """Returns the error for an exchange that was interrupted."""
     if connection.waiter.expired:
         return errors.UpstreamStalled('the answer stopped arriving')
-    return errors.UpstreamLost(f'broken off: {type(cause).__name__}')
+    return errors.UpstreamLost(f'connection lost: {type(cause).__name__}')
 
 
 async def connect(vm: upstreams.Vm) -> UpstreamConnection:
     """Opens a connection.
 
     Raises:
-        UpstreamUnreachable: There is none to be had.
+        UpstreamUnreachable: The connection cannot be opened.
     """
     stream = await socket_options.connect_upstream(vm, CONNECT_SECONDS)
     return UpstreamConnection(stream)
--- a/lavenderbend/transport/upstream_exchanges.py
+++ b/lavenderbend/transport/upstream_exchanges.py
@@ -1,4 +1,4 @@
-"""Requests to upstreams on kept connections, by h11 on trio sockets."""
+"""Requests to upstreams on pooled connections, by h11 on trio sockets."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 from lavenderbend.observe import metrics
 from lavenderbend.protocol import hop_headers
 from lavenderbend.transport import answer_heads
-from lavenderbend.transport import kept_connections
+from lavenderbend.transport import pooled_connections
 
 if TYPE_CHECKING:
     from lavenderbend.state import forwarding
 
 RECEIVE_BYTES = 64 * 1024
-# bodies under this fit the smallest windows of a connection at once
+# requests up to this size fit into the smallest TCP window, so that sending
+# them does not block
 SMALL_BODY_BYTES = 1024
-MAX_STRAYS = 4
+MAX_STRAY_ANSWERS = 4
 FRAMING = (b'content-length', b'transfer-encoding')
-NOT_OURS = 'the answer carries the id of another request'
+MISMATCH_DETAIL = 'the answer carries the id of another request'
 
 CONNECTIONS = metrics.counter(
     'lavenderbend_forward_connections_total',
@@ -35,7 +36,7 @@
     'Answers of upstreams that belonged to no waiting request.',
 )
 
-BROKEN = (
+CONNECTION_ERRORS = (
     h11.ProtocolError,
     trio.BrokenResourceError,
     trio.ClosedResourceError,
@@ -44,15 +45,15 @@
 
 
 class UpstreamExchanges(interfaces.Exchanges):
-    """Kept connections by instance of the upstream.
+    """A pool of connections by instance of the upstream.
 
     Attributes:
-        idle: Connections that wait for a request, the latest used last.
+        idle: Idle connections by instance, the most recently used last.
     """
 
     def __init__(self) -> None:
         self.idle: dict[
-            str, collections.deque[kept_connections.KeptConnection]
+            str, collections.deque[pooled_connections.PooledConnection]
         ] = {}
 
     async def open(
@@ -61,46 +62,46 @@
         """Returns a connection that no other request uses.
 
         Raises:
-            UpstreamUnreachable: There is none; nothing was sent.
+            UpstreamUnreachable: No connection can be opened; nothing was sent.
         """
-        kept = self.idle.get(upstream.instance)
-        while kept:
-            connection = kept.pop()
+        idle = self.idle.get(upstream.instance)
+        while idle:
+            connection = idle.pop()
             if connection.reusable(repeatable):
                 return UpstreamExchange(self, upstream.instance, connection)
             connection.close()
-        connection = await kept_connections.connect(upstream)
+        connection = await pooled_connections.connect(upstream)
         CONNECTIONS.inc({'service': upstream.vm.service})
         return UpstreamExchange(self, upstream.instance, connection)
 
     async def accepts(self, upstream: forwarding.Upstream) -> bool:
-        """Returns whether the upstream accepts a connection now."""
+        """Returns whether the upstream currently accepts connections."""
         try:
-            connection = await kept_connections.connect(upstream)
+            connection = await pooled_connections.connect(upstream)
         except errors.UpstreamUnreachable:
             return False
-        self.keep(upstream.instance, connection)
+        self.add_idle(upstream.instance, connection)
         return True
 
-    def keep(
-        self, instance: str, connection: kept_connections.KeptConnection
+    def add_idle(
+        self, instance: str, connection: pooled_connections.PooledConnection
     ) -> None:
-        """Keeps a connection for the next request."""
+        """Adds a connection to the pool for the next request."""
         connection.idle_since = trio.current_time()
-        kept = self.idle.setdefault(instance, collections.deque())
-        kept.append(connection)
+        idle = self.idle.setdefault(instance, collections.deque())
+        idle.append(connection)
 
     def retain(self, instances: set[str]) -> None:
-        """Closes idle connections of instances that are no more."""
-        for instance in [one for one in self.idle if one not in instances]:
+        """Closes idle connections of all instances but the given ones."""
+        for instance in [key for key in self.idle if key not in instances]:
             for connection in self.idle.pop(instance):
                 connection.close()
 
-    def sweep(self) -> None:
-        """Closes idle connections that would not be used again."""
-        for kept in self.idle.values():
-            while kept and not kept[0].reusable(True):
-                kept.popleft().close()
+    def close_expired(self) -> None:
+        """Closes idle connections that can no longer be reused."""
+        for idle in self.idle.values():
+            while idle and not idle[0].reusable(True):
+                idle.popleft().close()
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -111,13 +112,13 @@
     """One request on one connection.
 
     Attributes:
-        exchanges: Where the connection goes back to.
-        instance: The upstream.
+        exchanges: Pool to which the connection is returned.
+        instance: Instance of the upstream.
         connection: The connection.
         protocol: HTTP/1.1 state of this exchange.
-        request: What was sent.
+        request: The request that was sent.
         sent: Whether all of the request was sent.
-        complete: Whether the whole answer has come.
+        complete: Whether the complete answer was received.
         keep: Whether the upstream keeps the connection open.
     """
 
@@ -125,7 +126,7 @@
         self,
         exchanges: UpstreamExchanges,
         instance: str,
-        connection: kept_connections.KeptConnection,
+        connection: pooled_connections.PooledConnection,
     ) -> None:
         self.exchanges = exchanges
         self.instance = instance
@@ -141,28 +142,30 @@
     ) -> interfaces.AnswerHead:
         """Sends the request and returns the head of its answer.
 
-        An upstream may answer before it has read a long body, and reads no
-        further until then: the answer is read while the body is sent.
+        An upstream may answer before it has read all of a long body, and
+        stop reading it: the answer is read while the body is sent.
 
         Raises:
-            UpstreamBroke: It may have run.
+            UpstreamBroke: The exchange failed; the request may have been
+                executed.
         """
         self.request = request
-        data = self.begin()
+        data = self.request_bytes()
         if len(data) > SMALL_BODY_BYTES:
             return await self.send_and_read(data)
         try:
             await self.connection.stream.send_all(data)
-        except BROKEN as exc:
-            raise lost(exc) from exc
+        except CONNECTION_ERRORS as exc:
+            raise connection_lost(exc) from exc
         self.sent = True
         return await self.read_head()
 
     async def send_and_read(self, data: bytes) -> interfaces.AnswerHead:
-        """Sends the request while its answer is read.
+        """Sends the request and reads its answer concurrently.
 
         Raises:
-            UpstreamBroke: It may have run.
+            UpstreamBroke: The exchange failed; the request may have been
+                executed.
         """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.send_data, data)
@@ -175,22 +178,22 @@
     async def try_read_head(
         self,
     ) -> tuple[interfaces.AnswerHead | None, errors.UpstreamError | None]:
-        """Returns the head or the error; a nursery would wrap the latter."""
+        """Returns the head or the error; a nursery would wrap a raised error."""
         try:
             return await self.read_head(), None
         except errors.UpstreamError as exc:
             return None, exc
 
     async def send_data(self, data: bytes) -> None:
-        """Sends the request; its failure shows where the answer is read."""
+        """Sends the request; a lost connection is reported by the read."""
         with contextlib.suppress(
             trio.BrokenResourceError, trio.ClosedResourceError
         ):
             await self.connection.stream.send_all(data)
             self.sent = True
 
-    def begin(self) -> bytes:
-        """Returns the bytes of the request, and expects its answer."""
+    def request_bytes(self) -> bytes:
+        """Returns the bytes of the request; the protocol then awaits an answer."""
         request = self.request
         protocol = self.protocol
         data = protocol.send(
@@ -207,32 +210,33 @@
     async def read_head(self) -> interfaces.AnswerHead:
         """Returns the head of the answer to this request.
 
-        An upstream may send a second answer to an earlier request, just
-        where this one's answer is due. Its id tells; it is read over.
+        An upstream may send a duplicate answer to an earlier request where
+        the answer to this one is expected. It is recognized by its request
+        id and skipped.
 
         Raises:
-            UpstreamBroke: The answers that came are none to this request.
+            UpstreamBroke: No answer to this request was received.
         """
-        for _ in range(MAX_STRAYS):
+        for _ in range(MAX_STRAY_ANSWERS):
             try:
                 response = await answer_heads.next_head(
                     self.protocol, self.receive
                 )
-                found = interfaces.header(
+                answered_id = interfaces.header(
                     response.headers, self.request.id_header
                 )
-                if found == self.request.id:
-                    return self.head_of(response)
+                if answered_id == self.request.id:
+                    return self.make_head(response)
                 STRAYS.inc({})
-                if found is None:
+                if answered_id is None:
                     break
                 await self.skip_answer()
-            except BROKEN as exc:
-                raise lost(exc) from exc
-        raise errors.AnswerMismatch(NOT_OURS)
+            except CONNECTION_ERRORS as exc:
+                raise connection_lost(exc) from exc
+        raise errors.AnswerMismatch(MISMATCH_DETAIL)
 
-    def head_of(self, response: h11.Response) -> interfaces.AnswerHead:
-        """Returns the head, and notes what it says of the connection."""
+    def make_head(self, response: h11.Response) -> interfaces.AnswerHead:
+        """Returns the head; applies its Keep-Alive header to the connection."""
         headers = tuple((bytes(k), bytes(v)) for k, v in response.headers)
         self.note_keep_alive(headers)
         framed = any(name in FRAMING for name, _ in headers)
@@ -241,7 +245,7 @@
         )
 
     def note_keep_alive(self, headers: interfaces.Headers) -> None:
-        """Notes how long the upstream keeps the connection idle."""
+        """Sets the idle limit of the connection from a Keep-Alive header."""
         value = interfaces.header(headers, b'keep-alive')
         if value is None:
             return
@@ -251,7 +255,7 @@
                 self.connection.note_idle_limit(int(seconds))
 
     async def skip_answer(self) -> None:
-        """Reads an answer to its end and begins anew with what follows."""
+        """Skips an answer; the bytes after it are read as the next answer."""
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
@@ -260,14 +264,14 @@
                 break
         rest, closed = self.protocol.trailing_data
         self.protocol = h11.Connection(h11.CLIENT)
-        self.begin()
+        self.request_bytes()
         if rest:
             self.protocol.receive_data(rest)
         if closed:
             self.protocol.receive_data(b'')
 
     async def receive(self) -> None:
-        """Reads what comes next into the protocol."""
+        """Reads the next bytes from the socket into the protocol state."""
         data = await self.connection.stream.receive_some(RECEIVE_BYTES)
         self.protocol.receive_data(data)
 
@@ -275,7 +279,7 @@
         """Returns the next part of the body, None after the last.
 
         Raises:
-            UpstreamBroke: The answer broke off.
+            UpstreamBroke: The answer was interrupted.
         """
         while True:
             try:
@@ -283,8 +287,8 @@
                 if event is h11.NEED_DATA:
                     await self.receive()
                     continue
-            except BROKEN as exc:
-                raise lost(exc) from exc
+            except CONNECTION_ERRORS as exc:
+                raise connection_lost(exc) from exc
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage):
@@ -292,15 +296,15 @@
                 return None
 
     def close(self) -> None:
-        """Ends the exchange; an incomplete one closes its connection."""
+        """Ends the exchange; closes its connection unless it is reusable."""
         rest, closed = self.protocol.trailing_data
         done = self.protocol.their_state is h11.DONE
         if self.complete and self.sent and done and not rest and not closed:
-            self.exchanges.keep(self.instance, self.connection)
+            self.exchanges.add_idle(self.instance, self.connection)
             return
         self.connection.close()
 
 
-def lost(cause: BaseException) -> errors.UpstreamBroke:
-    """Returns the error for an exchange that broke off."""
-    return errors.UpstreamLost(f'broken off: {type(cause).__name__}')
+def connection_lost(cause: BaseException) -> errors.UpstreamBroke:
+    """Returns the error for an exchange that was interrupted."""
+    return errors.UpstreamLost(f'connection lost: {type(cause).__name__}')
--- a/lavenderbend/transport/upstream_http.py
+++ b/lavenderbend/transport/upstream_http.py
@@ -1,4 +1,4 @@
-"""The client that sends requests to upstreams, by h11 on trio streams."""
+"""The upstream client that uses h11 on trio streams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lavenderbend import errors
 from lavenderbend.coordination import interfaces
 from lavenderbend.protocol import http_limits
-from lavenderbend.transport import stall_watch
+from lavenderbend.transport import stall_detector
 from lavenderbend.transport import upstream_answers
 from lavenderbend.transport import upstream_clients
 from lavenderbend.transport import upstream_connections
@@ -25,7 +25,7 @@
     from lavenderbend.state import requests
     from lavenderbend.state import upstreams
 
-KEPT_CONNECTIONS = 64
+MAX_IDLE_CONNECTIONS = 64
 BODY_METHODS = frozenset(('POST', 'PUT', 'PATCH'))
 
 
@@ -33,11 +33,11 @@
     """An answer that arrives over HTTP/1.1.
 
     Attributes:
-        client: Takes the connection back.
-        address: Of the upstream.
+        client: Client to which the connection is returned.
+        address: Address of the upstream.
         connection: The connection.
-        whole: Whether the body was read to its end.
-        closed: Whether the connection was given back or closed.
+        complete: Whether the body was read to its end.
+        closed: Whether the connection was returned or closed.
     """
 
     watches_stalls = True
@@ -53,7 +53,7 @@
         self.address = address
         self.connection = connection
         self.start = start
-        self.whole = False
+        self.complete = False
         self.closed = False
 
     def chunks(self) -> AsyncIterator[bytes]:
@@ -64,30 +64,32 @@
         return self
 
     async def __anext__(self) -> bytes:
-        if self.whole:
+        if self.complete:
             raise StopAsyncIteration
         parts: list[bytes] = []
         try:
-            while not parts and not self.whole:
-                # all that has come goes on in one piece: one write to the
-                # caller in place of many when the router is busy
-                self.whole = self.connection.read_ready(parts)
-                if not parts and not self.whole:
+            while not parts and not self.complete:
+                # all data received so far is returned as one piece: one write
+                # to the caller instead of many when the router is busy
+                self.complete = self.connection.read_available(parts)
+                if not parts and not self.complete:
                     await self.connection.receive(self.wait_to_read)
         except upstream_connections.CONNECTION_ERRORS as exc:
-            # h11 tells an early end from a whole body by content-length and
-            # the last chunk; without this a cut answer would look whole
-            raise upstream_connections.lost(self.connection, exc) from exc
+            # h11 detects a truncated body by content-length or the missing
+            # last chunk; without this error it would look complete
+            raise upstream_connections.connection_lost(
+                self.connection, exc
+            ) from exc
         if not parts:
             raise StopAsyncIteration
         return parts[0] if len(parts) == 1 else b''.join(parts)
 
     async def close(self) -> None:
-        """Gives the connection back if the whole body was read."""
+        """Returns the connection to the client if the body is complete."""
         if self.closed:
             return
         self.closed = True
-        self.client.give_back(self.address, self.connection, self.whole)
+        self.client.release(self.address, self.connection, self.complete)
 
 
 def build_request(
@@ -96,7 +98,7 @@
     """Returns the head of the request as it is sent.
 
     Raises:
-        RequestInvalid: It is none of HTTP/1.1.
+        RequestInvalid: It is not valid HTTP/1.1.
     """
     merged = {**request.headers, **headers}
     merged[upstream_answers.REQUEST_ID] = request.id
@@ -112,7 +114,7 @@
             method=request.method, target=request.path, headers=sent
         )
     except (h11.LocalProtocolError, UnicodeEncodeError) as exc:
-        raise errors.RequestInvalid('the request cannot be sent on') from exc
+        raise errors.RequestInvalid('the request cannot be forwarded') from exc
 
 
 @upstream_clients.CLIENTS.register('h11')
@@ -121,8 +123,8 @@
 
     Attributes:
         limits: Limits on answers.
-        idle: Connections to each upstream that wait for a request.
-        watch: Ends answers that stop arriving.
+        idle: Idle connections by address of the upstream.
+        stalls: Ends answers that stop arriving.
     """
 
     def __init__(self, limits: http_limits.AnswerLimits | None = None) -> None:
@@ -131,7 +133,7 @@
             tuple[str, int],
             collections.deque[upstream_connections.UpstreamConnection],
         ] = collections.defaultdict(collections.deque)
-        self.watch = stall_watch.StallWatch(self.limits.stall_seconds)
+        self.stalls = stall_detector.StallDetector(self.limits.stall_seconds)
 
     async def open(
         self,
@@ -140,13 +142,15 @@
         headers: Mapping[str, str],
         timeout: float,
     ) -> interfaces.UpstreamAnswer:
-        """Sends a request and returns when the answer's head has come."""
+        """Sends a request; returns once the head of the answer has arrived."""
         head = build_request(vm, request, headers)
-        # an idle connection may be closed by the upstream while the request
-        # is on its way, and then nobody can tell whether it ran; a request
-        # that may run once only goes on a fresh one
-        once = request.idempotency_key is not None
-        connection = None if once else self.take_idle((vm.host, vm.port))
+        # the upstream may close an idle connection while the request is in
+        # transit, and then it is unknown whether the request was executed; a
+        # request that must be executed at most once gets a new connection
+        at_most_once = request.idempotency_key is not None
+        connection = (
+            None if at_most_once else self.take_idle((vm.host, vm.port))
+        )
         if timeout == math.inf:
             return await self.exchange(vm, connection, head, request)
         with trio.move_on_after(max(timeout, 0.0)):
@@ -164,8 +168,8 @@
         address = (vm.host, vm.port)
         if connection is None:
             connection = await upstream_connections.connect(vm)
-        self.watch.add(connection.waiter)
-        kept = False
+        self.stalls.add(connection.waiter)
+        succeeded = False
         try:
             await connection.send(head, request.body)
             response = await connection.read_head()
@@ -173,13 +177,13 @@
                 response.status_code, response.headers
             )
             upstream_answers.check_start(start, request.id)
-            kept = True
+            succeeded = True
             return HttpUpstreamAnswer(self, address, connection, start)
         except upstream_connections.CONNECTION_ERRORS as exc:
-            raise upstream_connections.lost(connection, exc) from exc
+            raise upstream_connections.connection_lost(connection, exc) from exc
         finally:
-            if not kept:
-                self.give_back(address, connection, whole=False)
+            if not succeeded:
+                self.release(address, connection, complete=False)
 
     def take_idle(
         self, address: tuple[str, int]
@@ -193,23 +197,23 @@
             connection.abort()
         return None
 
-    def give_back(
+    def release(
         self,
         address: tuple[str, int],
         connection: upstream_connections.UpstreamConnection,
-        whole: bool,
+        complete: bool,
     ) -> None:
-        """Keeps a connection for the next request, or closes it."""
-        self.watch.remove(connection.waiter)
+        """Makes a connection idle for the next request, or closes it."""
+        self.stalls.remove(connection.waiter)
         idle = self.idle[address]
-        # the watch may have closed it as the last bytes came: a whole answer
-        # does not show that its connection can carry another
-        usable = whole and not connection.waiter.expired
-        if usable and len(idle) < KEPT_CONNECTIONS:
+        # the stall detector may have closed it as the last bytes arrived: a
+        # complete answer does not imply that its connection is still usable
+        usable = complete and not connection.waiter.expired
+        if usable and len(idle) < MAX_IDLE_CONNECTIONS:
             try:
                 connection.protocol.start_next_cycle()
             except h11.LocalProtocolError:
-                # the upstream asked for the connection to be closed
+                # the upstream asked to close the connection
                 connection.abort()
                 return
             connection.idle_since = trio.current_time()
@@ -250,10 +254,10 @@
             answer = HttpUpstreamAnswer(self, address, connection, start)
             data = b''.join([part async for part in answer])
         except upstream_connections.CONNECTION_ERRORS as exc:
-            raise upstream_connections.lost(connection, exc) from exc
+            raise upstream_connections.connection_lost(connection, exc) from exc
         finally:
-            whole = answer is not None and answer.whole
-            self.give_back(address, connection, whole)
+            complete = answer is not None and answer.complete
+            self.release(address, connection, complete)
         return upstream_answers.read_report(vm.id, start.status, data)
 
     async def forget(self, vm: upstreams.Vm) -> None:
--- a/lavenderbend/transport/upstream_httpx.py
+++ b/lavenderbend/transport/upstream_httpx.py
@@ -1,4 +1,4 @@
-"""The client that sends requests to upstreams, by httpx."""
+"""The upstream client that uses httpx."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     from lavenderbend.state import upstreams
 
 CONNECT_SECONDS = 1.0
-KEPT_CONNECTIONS = 64
-KEPT_SECONDS = 15.0
+MAX_IDLE_CONNECTIONS = 64
+MAX_IDLE_SECONDS = 15.0
 
 CONNECTION_ERRORS = (
     httpx.TransportError,
@@ -39,14 +39,14 @@
     """Returns the request as it is sent.
 
     Raises:
-        RequestInvalid: The caller's path is none of HTTP/1.1.
+        RequestInvalid: The caller's path is not valid in HTTP/1.1.
     """
     merged = {
         **request.headers,
         **headers,
         upstream_answers.REQUEST_ID: request.id,
     }
-    # as bytes, since httpx takes text for ASCII only
+    # as bytes, since httpx encodes text as ASCII only
     sent = [
         (name.encode('latin-1'), value.encode('latin-1', 'replace'))
         for name, value in merged.items()
@@ -59,7 +59,7 @@
             raw_path=request.path.encode('ascii'),
         )
     except (httpx.InvalidURL, UnicodeEncodeError) as exc:
-        raise errors.RequestInvalid('the path cannot be sent on') from exc
+        raise errors.RequestInvalid('the path cannot be forwarded') from exc
     return httpx.Request(
         request.method,
         url,
@@ -73,8 +73,8 @@
     """An answer that arrives over HTTP/1.1.
 
     Attributes:
-        response: The response of httpx, not read yet.
-        limits: How long ending the exchange may take.
+        response: The httpx response, with an unread body.
+        limits: Limits on the time for closing the exchange.
     """
 
     def __init__(
@@ -94,20 +94,20 @@
                 if data:
                     yield data
         except CONNECTION_ERRORS as exc:
-            # h11 tells an early end from a whole body by content-length and
-            # the last chunk; without this a cut answer would look whole
+            # h11 detects a truncated body by content-length or the missing
+            # last chunk; without this error it would look complete
             raise errors.UpstreamLost(
-                f'the answer broke off: {type(exc).__name__}'
+                f'the answer was interrupted: {type(exc).__name__}'
             ) from exc
 
     async def close(self) -> None:
-        """Closes the connection unless the whole body was read."""
+        """Closes the connection unless the complete body was read."""
         with trio.move_on_after(self.limits.close_seconds) as scope:
             scope.shield = True
             try:
                 await self.response.aclose()
             except CONNECTION_ERRORS:
-                # the connection is gone, which is what close asks for
+                # the connection is already closed
                 return
 
 
@@ -116,29 +116,29 @@
     """Connections to one upstream.
 
     Attributes:
-        kept: For requests that may be sent on a connection used before.
-        fresh: Opens a connection for each request.
+        reused: For requests that may be sent on a connection used before.
+        fresh: Opens a new connection for each request.
     """
 
-    kept: httpx.AsyncHTTPTransport
+    reused: httpx.AsyncHTTPTransport
     fresh: httpx.AsyncHTTPTransport
 
     async def aclose(self) -> None:
-        """Closes all of them."""
-        await self.kept.aclose()
+        """Closes all connections to the upstream."""
+        await self.reused.aclose()
         await self.fresh.aclose()
 
 
 def open_connections() -> UpstreamConnections:
-    """Returns an empty set of connections."""
-    kept = httpx.Limits(
+    """Returns connection pools without open connections."""
+    reused = httpx.Limits(
         max_connections=None,
-        max_keepalive_connections=KEPT_CONNECTIONS,
-        keepalive_expiry=KEPT_SECONDS,
+        max_keepalive_connections=MAX_IDLE_CONNECTIONS,
+        keepalive_expiry=MAX_IDLE_SECONDS,
     )
     fresh = httpx.Limits(max_connections=None, max_keepalive_connections=0)
     return UpstreamConnections(
-        httpx.AsyncHTTPTransport(verify=False, limits=kept),
+        httpx.AsyncHTTPTransport(verify=False, limits=reused),
         httpx.AsyncHTTPTransport(verify=False, limits=fresh),
     )
 
@@ -149,8 +149,8 @@
 
     Attributes:
         limits: Limits on answers.
-        connections: By address of the upstream; one set for each keeps the
-            look-up of a free connection short.
+        connections: Connection pools by address of the upstream; separate
+            pools keep the search for an idle connection short.
     """
 
     def __init__(self, limits: http_limits.AnswerLimits | None = None) -> None:
@@ -164,13 +164,13 @@
         headers: Mapping[str, str],
         timeout: float,
     ) -> interfaces.UpstreamAnswer:
-        """Sends a request and returns when the answer's head has come."""
+        """Sends a request; returns once the head of the answer has arrived."""
         pools = self.pools_of(vm)
-        # an idle connection may be closed by the upstream while the request
-        # is on its way, and then nobody can tell whether it ran; a request
-        # that may run once only goes on a fresh one
-        once = request.idempotency_key is not None
-        transport = pools.fresh if once else pools.kept
+        # the upstream may close an idle connection while the request is in
+        # transit, and then it is unknown whether the request was executed; a
+        # request that must be executed at most once gets a new connection
+        at_most_once = request.idempotency_key is not None
+        transport = pools.fresh if at_most_once else pools.reused
         outgoing = build_request(vm, request, headers)
         response = await self.send(transport, outgoing, timeout)
         return await self.check(response, request.id)
@@ -178,11 +178,11 @@
     def pools_of(self, vm: upstreams.Vm) -> UpstreamConnections:
         """Returns the connections to an upstream."""
         address = (vm.host, vm.port)
-        found = self.connections.get(address)
-        if found is None:
-            found = open_connections()
-            self.connections[address] = found
-        return found
+        pools = self.connections.get(address)
+        if pools is None:
+            pools = open_connections()
+            self.connections[address] = pools
+        return pools
 
     async def send(
         self,
@@ -190,7 +190,12 @@
         outgoing: httpx.Request,
         timeout: float,
     ) -> httpx.Response:
-        """Returns the answer's head, or raises the fitting error."""
+        """Sends a request and returns the head of the answer.
+
+        Raises:
+            UpstreamError: There is no answer; the class tells whether the
+                request was sent.
+        """
         try:
             with trio.fail_after(max(timeout, 0.0)):
                 return await transport.handle_async_request(outgoing)
@@ -214,7 +219,7 @@
     async def check(
         self, response: httpx.Response, request_id: str
     ) -> interfaces.UpstreamAnswer:
-        """Returns the answer if it is one to this request."""
+        """Returns the answer if it belongs to this request."""
         start = upstream_answers.read_start(
             response.status_code, response.headers.raw
         )
@@ -234,7 +239,7 @@
             extensions={'timeout': {'connect': CONNECT_SECONDS}},
         )
         response = await self.send(
-            self.pools_of(vm).kept, outgoing, upstream_answers.REPORT_SECONDS
+            self.pools_of(vm).reused, outgoing, upstream_answers.REPORT_SECONDS
         )
         answer = HttpxUpstreamAnswer(
             response,
@@ -243,7 +248,7 @@
         )
         try:
             with trio.fail_after(upstream_answers.REPORT_SECONDS):
-                data = b''.join([item async for item in answer.chunks()])
+                data = b''.join([part async for part in answer.chunks()])
         except trio.TooSlowError as exc:
             raise errors.UpstreamBroke('no load report in time') from exc
         finally:
@@ -252,9 +257,9 @@
 
     async def forget(self, vm: upstreams.Vm) -> None:
         """Closes the idle connections of an upstream that has left."""
-        found = self.connections.pop((vm.host, vm.port), None)
-        if found is not None:
-            await found.aclose()
+        pools = self.connections.pop((vm.host, vm.port), None)
+        if pools is not None:
+            await pools.aclose()
 
     async def aclose(self) -> None:
         """Closes all connections."""
--- a/tests/integration/forwarding_soak.py
+++ b/tests/integration/forwarding_soak.py
@@ -171,7 +171,7 @@
         engine = stream_standins.StreamWorker(
             worker.instance, worker.service, self.seed
         )
-        engine.troubled = TROUBLED_SHARE
+        engine.fault_fraction = TROUBLED_SHARE
         return engine
 
     async def start(self, nursery) -> None:
@@ -360,7 +360,7 @@
                 one
                 for worker in self.workers.values()
                 if isinstance(worker, stream_standins.StreamWorker)
-                for one in worker.did.get(told.id, [])
+                for one in worker.history.get(told.id, [])
             )
         )
 
--- a/tests/integration/test_integration_forwarding_soak.py
+++ b/tests/integration/test_integration_forwarding_soak.py
@@ -255,7 +255,7 @@
 
 def test_violation_says_what_was_done_and_played(world):
     world.told = [part(events(1, 3))]
-    world.workers['i-e1'].did['r1.0'] = [(10.0, 'i-e1 skips after 0')]
+    world.workers['i-e1'].history['r1.0'] = [(10.0, 'i-e1 skips after 0')]
     world.played = [('kill', 9.0, 11.0), ('store', 1.0, 2.0)]
     world.check()
     assert 'i-e1 skips after 0' in world.violations[0]
@@ -271,7 +271,7 @@
     # An engine answers without a length, and the link to it is reset between
     # two events: to any router that is how such an answer ends.
     world.told = [part(body, stream_callers.COMPLETE)]
-    world.workers['i-e1'].did['r1.0'] = [(10.0, 'i-e1 unframed after 0')]
+    world.workers['i-e1'].history['r1.0'] = [(10.0, 'i-e1 unframed after 0')]
     world.played = [('worker link', 9.0, 11.0)]
     world.check()
     assert bool(world.violations) == found
@@ -320,7 +320,7 @@
     async with trio.open_nursery() as nursery:
         try:
             for name in ('i-e1', 'i-e2'):
-                world.workers[name].troubled = 0.0
+                world.workers[name].fault_fraction = 0.0
             await world.start(nursery)
             for number in range(forwarding_soak.STREAM_CALLERS):
                 nursery.start_soon(world.call_streams, number)
--- a/tests/stream_standins.py
+++ b/tests/stream_standins.py
@@ -1,4 +1,4 @@
-"""Engines whose streams pause, fall silent, break off, or contradict."""
+"""Fake engines whose streams stall, end early or are numbered wrongly."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from tests import platform_standins as standins
 
 PAUSE_SECONDS = (0.3, 0.8)
-SHORTEST = 5
-STEP = 12
+MIN_EVENTS = 5
+EVENTS_STEP = 12
 LENGTHS = 4
-# with it, the longest streams are several times a small receive buffer
+# padded, the longest streams exceed a small receive buffer several times
 PADDING_BYTES = 4000
 PLANS = (
     'pauses',
@@ -27,7 +27,7 @@
     'starts_over',
 )
 UNFRAMED = ('closes_within_an_event', 'unframed')
-# what ends a stream costs a repeat, of which routers have few
+# faults that end a stream use up a retry, and the retry budget is small
 WEIGHTS = (4, 1, 1, 1, 1, 1, 1, 1)
 
 
@@ -37,32 +37,32 @@
 
 def length_of(target) -> int:
     """Returns how many events the stream of a target has."""
-    return SHORTEST + STEP * (number_of(target) % LENGTHS)
+    return MIN_EVENTS + EVENTS_STEP * (number_of(target) % LENGTHS)
 
 
 def event(target, number) -> bytes:
-    """Returns an event; no two streams share one."""
+    """Returns an event that is unique to its stream."""
     padding = '.' * PADDING_BYTES if number_of(target) // LENGTHS % 2 else ''
     return f'id: {number}\ndata: x{number} {target} {padding}\n\n'.encode()
 
 
 def body_of(target, after=0) -> bytes:
-    """Returns all events behind one."""
+    """Returns all events after the given one."""
     numbers = range(after + 1, length_of(target) + 1)
     return b''.join(event(target, number) for number in numbers)
 
 
 class Stream:
-    """One answer in events, chunked or without a length."""
+    """A streamed answer, in chunked coding or ended by the connection."""
 
-    def __init__(self, worker, asked, stream, protocol, framed=True) -> None:
-        self.target = asked.target
+    def __init__(self, worker, request, stream, protocol, framed=True) -> None:
+        self.target = request.target
         self.gap = worker.gap
         self.stream = stream
         self.protocol = protocol
         self.framed = framed
         self.headers = [
-            *worker.headers(asked),
+            *worker.headers(request),
             ('content-type', 'text/event-stream'),
         ]
 
@@ -81,11 +81,11 @@
         await self.stream.send_all(data)
 
     async def send(self, numbers) -> None:
-        """Sends events, each in a write of its own."""
+        """Sends events, each in a separate write."""
         for number in numbers:
-            await self.together([number])
+            await self.send_in_one_write([number])
 
-    async def together(self, numbers) -> None:
+    async def send_in_one_write(self, numbers) -> None:
         """Sends events in one write."""
         events = [event(self.target, number) for number in numbers]
         await self.write(b''.join(events))
@@ -102,108 +102,108 @@
     """An engine whose streams differ by their target.
 
     Attributes:
-        rng: Draws what goes wrong, and where in a stream.
-        troubled: Share of its streams that something goes wrong in.
-        did: What it did, by request.
+        rng: Chooses the faults and their positions in the streams.
+        fault_fraction: Fraction of its streams that get a fault.
+        history: Times and descriptions of its answers, by request id.
     """
 
     def __init__(self, instance, service, seed) -> None:
         super().__init__(instance, service)
         self.rng = random.Random(f'{seed} {instance}')
-        self.troubled = 0.0
-        self.did = collections.defaultdict(list)
+        self.fault_fraction = 0.0
+        self.history = collections.defaultdict(list)
 
-    async def answer(self, asked, stream, protocol):
-        if not self.plans and self.rng.random() < self.troubled:
+    async def answer(self, request, stream, protocol):
+        if not self.plans and self.rng.random() < self.fault_fraction:
             self.plans.extend(self.rng.choices(PLANS, WEIGHTS))
         plan = self.plans[0] if self.plans else 'well'
-        request = asked.headers['lavenderbend-request-id']
-        after = asked.headers.get('last-event-id', 0)
+        request_id = request.headers['lavenderbend-request-id']
+        after = request.headers.get('last-event-id', 0)
         text = f'{self.instance} {plan} after {after}'
-        self.did[request].append((trio.current_time(), text))
-        await super().answer(asked, stream, protocol)
+        self.history[request_id].append((trio.current_time(), text))
+        await super().answer(request, stream, protocol)
 
-    async def begun(self, asked, stream, protocol, framed=True):
-        """Returns a stream that has begun, and the events due in it."""
-        answer = Stream(self, asked, stream, protocol, framed)
+    async def begin_stream(self, request, stream, protocol, framed=True):
+        """Begins a stream; returns it and the numbers of its events."""
+        answer = Stream(self, request, stream, protocol, framed)
         await answer.begin()
-        after = int(asked.headers.get('last-event-id', 0))
-        return answer, range(after + 1, length_of(asked.target) + 1)
+        after = int(request.headers.get('last-event-id', 0))
+        return answer, range(after + 1, length_of(request.target) + 1)
 
-    async def events_from(self, asked, stream, protocol, until):
-        """Sends all events; how many, is up to the target."""
-        answer, due = await self.begun(asked, stream, protocol)
+    async def events_from(self, request, stream, protocol, until):
+        """Sends all events; the target determines their number."""
+        answer, due = await self.begin_stream(request, stream, protocol)
         await answer.send(due)
         await answer.end()
 
-    def parted(self, due):
-        """Returns the events before a point in the stream, and the others."""
-        at = self.rng.randrange(len(due)) if due else 0
-        return due[:at], due[at:]
+    def split(self, due):
+        """Splits events at a random position."""
+        position = self.rng.randrange(len(due)) if due else 0
+        return due[:position], due[position:]
 
-    async def pauses(self, asked, stream, protocol):
-        """Pauses, and sends what it held back in one write."""
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol)
+    async def pauses(self, request, stream, protocol):
+        """Pauses, and then sends delayed events in one write."""
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol)
         for _ in range(2):
-            before, due = self.parted(due)
+            before, due = self.split(due)
             await answer.send(before)
             await trio.sleep(self.rng.uniform(*PAUSE_SECONDS))
-            held = self.rng.randint(1, 4)
-            await answer.together(due[:held])
-            due = due[held:]
+            delayed = self.rng.randint(1, 4)
+            await answer.send_in_one_write(due[:delayed])
+            due = due[delayed:]
         await answer.send(due)
         await answer.end()
 
-    async def falls_silent(self, asked, stream, protocol):
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol)
-        await answer.send(self.parted(due)[0])
+    async def falls_silent(self, request, stream, protocol):
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol)
+        await answer.send(self.split(due)[0])
         await trio.sleep_forever()
 
-    async def breaks_off(self, asked, stream, protocol):
-        await self.end_within(asked, stream, protocol, True)
+    async def breaks_off(self, request, stream, protocol):
+        await self.end_within(request, stream, protocol, True)
 
-    async def closes_within_an_event(self, asked, stream, protocol):
-        await self.end_within(asked, stream, protocol, False)
+    async def closes_within_an_event(self, request, stream, protocol):
+        await self.end_within(request, stream, protocol, False)
 
-    async def end_within(self, asked, stream, protocol, framed):
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol, framed)
-        before, rest = self.parted(due)
+    async def end_within(self, request, stream, protocol, framed):
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol, framed)
+        before, rest = self.split(due)
         await answer.send(before)
         if rest:
-            last = event(asked.target, rest[0])
+            last = event(request.target, rest[0])
             await answer.write(last[: self.rng.randrange(1, len(last))])
         stream.socket.close()
 
-    async def unframed(self, asked, stream, protocol):
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol, False)
+    async def unframed(self, request, stream, protocol):
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol, False)
         await answer.send(due)
         await answer.end()
 
-    async def skips(self, asked, stream, protocol):
-        await self.contradict(asked, stream, protocol, (0, 1, 3))
+    async def skips(self, request, stream, protocol):
+        await self.contradict(request, stream, protocol, (0, 1, 3))
 
-    async def repeats(self, asked, stream, protocol):
-        await self.contradict(asked, stream, protocol, (0, 1, 1))
+    async def repeats(self, request, stream, protocol):
+        await self.contradict(request, stream, protocol, (0, 1, 1))
 
-    async def contradict(self, asked, stream, protocol, steps):
-        """Numbers events in one write as no stream is numbered."""
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol)
-        before, rest = self.parted(due)
+    async def contradict(self, request, stream, protocol, steps):
+        """Sends events in one write that skip or repeat a number."""
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol)
+        before, rest = self.split(due)
         await answer.send(before)
         if len(rest) > max(steps):
-            await answer.together([rest[step] for step in steps])
+            await answer.send_in_one_write([rest[step] for step in steps])
             rest = rest[max(steps) + 1 :]
         await answer.send(rest)
         await answer.end()
 
-    async def starts_over(self, asked, stream, protocol):
-        """Goes on at the first event, whatever the caller has."""
-        self.note_run(asked)
-        answer, due = await self.begun(asked, stream, protocol)
+    async def starts_over(self, request, stream, protocol):
+        """Sends the stream from its first event, ignoring last-event-id."""
+        self.note_run(request)
+        answer, due = await self.begin_stream(request, stream, protocol)
         await answer.send(range(1, due.stop))
         await answer.end()
--- a/tests/test_transport/test_answer_path_fuzz.py
+++ b/tests/test_transport/test_answer_path_fuzz.py
@@ -1,7 +1,7 @@
-"""The whole answer path over sockets, with upstreams that misbehave at random.
+"""The complete answer path over sockets, with randomly faulty upstreams.
 
-What a caller reads is compared byte for byte with what its own request was to
-be answered.
+The bytes that a caller reads are compared with the expected answer to its own
+request.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class FaultyUpstream:
-    """Answers each request in one of many ways, drawn from a seed."""
+    """Answers each request in one of many variants, chosen at random."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -74,48 +74,48 @@
             stream.socket.close()
 
     async def read(self, stream, protocol):
-        asked = None
+        request = None
         while True:
-            found = protocol.next_event()
-            if found is h11.NEED_DATA:
+            received = protocol.next_event()
+            if received is h11.NEED_DATA:
                 protocol.receive_data(await stream.receive_some(65536))
-            elif isinstance(found, h11.Request):
-                asked = dict(found.headers)
-            elif isinstance(found, h11.EndOfMessage):
-                last = int(asked.get(b'last-event-id', b'0'))
-                return asked[b'x-request-id'], last
-            elif isinstance(found, h11.ConnectionClosed):
+            elif isinstance(received, h11.Request):
+                request = dict(received.headers)
+            elif isinstance(received, h11.EndOfMessage):
+                last = int(request.get(b'last-event-id', b'0'))
+                return request[b'x-request-id'], last
+            elif isinstance(received, h11.ConnectionClosed):
                 return None, 0
 
     async def answer(self, stream, name, last):
-        """Returns whether the connection goes on."""
-        whole = stream_body(name, last)
+        """Answers a request; returns whether the connection stays open."""
+        body = stream_body(name, last)
         chunked = head(name, more=b'transfer-encoding: chunked\r\n')
-        length = b'content-length: %d\r\n' % len(whole)
-        fine = chunked + chunk(whole) + b'0\r\n\r\n'
+        length = b'content-length: %d\r\n' % len(body)
+        fine = chunked + chunk(body) + b'0\r\n\r\n'
         other = b'older-%d' % self.rng.randrange(9)
         stale = head(other, more=b'content-length: 5\r\n') + b'stale'
         cut = self.rng.randrange(len(fine))
-        some = self.rng.randrange(len(whole) + 1)
-        ways = {
+        some = self.rng.randrange(len(body) + 1)
+        variants = {
             'fine': (fine, True),
             'split': (fine[:cut], fine[cut:], True),
             'stall': (fine[:cut], 0.15, fine[cut:], True),
             'edge': (fine[:cut], 0.05, fine[cut:], True),
-            'events': (chunked, *self.slowly(whole), b'0\r\n\r\n', True),
-            'sized': (head(name, more=length) + whole, True),
-            'unframed': (head(name) + whole, False),
+            'events': (chunked, *self.slowly(body), b'0\r\n\r\n', True),
+            'sized': (head(name, more=length) + body, True),
+            'unframed': (head(name) + body, False),
             'twice': (fine + fine, True),
             'late': (fine, 0.02, fine, True),
             'stale': (stale + fine, True),
             'broken': (fine[:cut], False),
-            'short': (head(name, more=length) + whole[:some], False),
-            'long': (head(name, more=length) + whole + b'more', True),
-            'framing': (chunked + b'zz\r\n' + whole, False),
+            'short': (head(name, more=length) + body[:some], False),
+            'long': (head(name, more=length) + body + b'more', True),
+            'framing': (chunked + b'zz\r\n' + body, False),
             'garbage': (b'\x00\xff garbage\r\n\r\n', False),
-            'unsigned': (head(name, signed=False, more=length) + whole, True),
+            'unsigned': (head(name, signed=False, more=length) + body, True),
             'encoded': (
-                head(name, more=length + b'content-encoding: br\r\n') + whole,
+                head(name, more=length + b'content-encoding: br\r\n') + body,
                 True,
             ),
             'failed': (
@@ -133,7 +133,7 @@
                 + b'full',
                 True,
             ),
-            # its first number is the upstream's to choose; a gap is not
+            # the upstream may choose the first number, but must not leave a gap
             'skipped': (
                 chunked
                 + chunk(event(name, last + 1) + event(name, last + 3))
@@ -142,28 +142,28 @@
             ),
             'again': (
                 chunked
-                + chunk(event(name, last + 1) * 2 + whole)
+                + chunk(event(name, last + 1) * 2 + body)
                 + b'0\r\n\r\n',
                 True,
             ),
             'closed': (False,),
         }
-        *steps, goes_on = ways[self.rng.choice(sorted(ways))]
+        *steps, stays_open = variants[self.rng.choice(sorted(variants))]
         for step in steps:
             if isinstance(step, float):
                 await trio.sleep(step)
             else:
                 await stream.send_all(step)
-        return goes_on
+        return stays_open
 
-    def slowly(self, whole):
-        for part in whole.split(b'\n\n')[:-1]:
+    def slowly(self, body):
+        for part in body.split(b'\n\n')[:-1]:
             yield chunk(part + b'\n\n')
             yield self.rng.choice([0.0, 0.01, 0.05])
 
 
 class Caller:
-    """Asks one request after the other, on kept connections."""
+    """Sends one request after the other, on persistent connections."""
 
     def __init__(self, port, number):
         self.port = port
@@ -176,18 +176,18 @@
             name = b'q%d-%d' % (self.number, count)
             if stream is None:
                 stream = await trio.open_tcp_stream(HOST, self.port)
-            if not await self.ask(stream, name):
+            if not await self.send_request(stream, name):
                 stream.socket.close()
                 stream = None
         if stream is not None:
             stream.socket.close()
 
-    async def ask(self, stream, name):
-        """Returns whether the connection may be used again."""
-        # bytes that belong to no request must not lie here
+    async def send_request(self, stream, name):
+        """Sends a request; returns whether the connection can be reused."""
+        # no bytes that belong to no request may have been received
         assert not stream.socket.is_readable() or not await self.rest(stream)
         protocol = h11.Connection(h11.CLIENT)
-        asked = h11.Request(
+        request = h11.Request(
             method='POST',
             target=b'/chat/' + name,
             headers=[
@@ -198,28 +198,28 @@
                 ('content-length', '2'),
             ],
         )
-        data = protocol.send(asked) + protocol.send(h11.Data(data=b'{}'))
+        data = protocol.send(request) + protocol.send(h11.Data(data=b'{}'))
         data += protocol.send(h11.EndOfMessage())
         status, body, complete = None, b'', False
         try:
             await stream.send_all(data)
             while not complete:
-                found = protocol.next_event()
-                if found is h11.NEED_DATA:
+                received = protocol.next_event()
+                if received is h11.NEED_DATA:
                     protocol.receive_data(await stream.receive_some(65536))
-                elif isinstance(found, h11.Response):
-                    status = found.status_code
-                    headers = dict(found.headers)
-                elif isinstance(found, h11.Data):
-                    body += bytes(found.data)
-                elif isinstance(found, h11.EndOfMessage):
+                elif isinstance(received, h11.Response):
+                    status = received.status_code
+                    headers = dict(received.headers)
+                elif isinstance(received, h11.Data):
+                    body += bytes(received.data)
+                elif isinstance(received, h11.EndOfMessage):
                     complete = True
-                elif isinstance(found, h11.ConnectionClosed):
+                elif isinstance(received, h11.ConnectionClosed):
                     break
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         except h11.RemoteProtocolError as exc:
-            # an answer that broke off; anything else is no answer at all
+            # the answer was cut off; any other protocol error is a fault
             assert 'peer closed connection' in str(exc), (name, exc, body)
         self.check(name, status, body, complete)
         if status == 200:
@@ -236,7 +236,7 @@
             assert not complete or body == expected
             self.complete += complete
         elif complete:
-            # a failure of the upstream's own, or the router's problem
+            # an error of the upstream, or problem details of the router
             assert body == b'oops' or b'"outcome"' in body, (status, body)
 
     async def rest(self, stream):
@@ -247,18 +247,18 @@
 
 
 @pytest.mark.parametrize('seed', range(8))
-async def test_caller_reads_its_own_answer_or_sees_that_it_is_none(
+async def test_caller_reads_its_own_answer_or_detects_a_failure(
     seed, nursery, monkeypatch
 ):
-    # Upstreams double, cut, delay, misframe and mix up their answers, and
-    # fall silent so that waits are given up while bytes arrive. Whatever a
-    # caller reads as complete must be the whole answer to its own request.
+    # Upstreams duplicate, truncate, delay, misframe and swap answers, and
+    # stall so that waits time out while bytes arrive. An answer that a caller
+    # reads as complete must be the complete answer to its own request.
     monkeypatch.setattr(attempts, 'MIN_FIRST_BYTE_SECONDS', 0.05)
     monkeypatch.setattr(attempts, 'MIN_STALL_SECONDS', 0.05)
     monkeypatch.setattr(silence, 'CHECK_SECONDS', 0.005)
     monkeypatch.setattr(silence, 'SILENT_SECONDS', 0.04)
     rng = random.Random(seed)
-    found = []
+    listed = []
     for name in ('e1', 'e2', 'e3'):
         serve = functools.partial(
             trio.serve_tcp, FaultyUpstream(rng).serve, 0, host=HOST
@@ -268,7 +268,7 @@
         vm = upstreams.Vm(
             name, HOST, port, 'z', 'chat', upstreams.UpstreamKind.SERVICE
         )
-        found.append(forwarding.Upstream(name, vm, 8))
+        listed.append(forwarding.Upstream(name, vm, 8))
     rules = (
         fakes.rule(
             streaming=True,
@@ -278,7 +278,7 @@
             max_gap=0.01,
         ),
     )
-    content = fakes.snapshot(1, fakes.table(1, rules), *found)
+    content = fakes.snapshot(1, fakes.table(1, rules), *listed)
     exchanges = upstream_exchanges.UpstreamExchanges()
     router = fakes.Router(content, exchanges)
     router.budget.settings = budget.RetryBudgetSettings(10.0, 1000.0, 10.0)
@@ -289,9 +289,9 @@
     port = await nursery.start(functools.partial(server.serve, HOST, 0))
     callers = [Caller(port, number) for number in range(CALLERS)]
     with trio.fail_after(60.0):
-        async with trio.open_nursery() as asking:
+        async with trio.open_nursery() as sending:
             for caller in callers:
-                asking.start_soon(caller.run)
+                sending.start_soon(caller.run)
     exchanges.close()
-    # the checks saw answers, however busy the machine is
+    # enough answers were checked, even on a busy machine
     assert sum(caller.complete for caller in callers) > CALLERS
--- a/tests/test_transport/test_answer_path_seams.py
+++ b/tests/test_transport/test_answer_path_seams.py
@@ -1,4 +1,4 @@
-"""Streams that go on at another upstream, as their caller reads them."""
+"""Streams that are resumed at another upstream, as their caller reads them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 HOST = '127.0.0.1'
 EVENTS = 4
-# more than an attempt and the one that follows it make
+# more than the task steps of two attempts
 STEPS = 60
 LIMITS = forwarding.CallerLimits(header_seconds=2.0, idle_seconds=5.0)
 RULE = fakes.rule(streaming=True, resumable=True, attempts=2)
@@ -34,12 +34,12 @@
     return b''.join(event(number) for number in range(first, last + 1))
 
 
-class CutAtCheckpoint(trio.abc.Instrument):
-    """Cancels a scope at one of the steps of the task within it.
+class CancelAtStep(trio.abc.Instrument):
+    """Cancels a scope after a number of steps of the task within it.
 
     Attributes:
-        scope: What is cancelled, None once it was.
-        left: Steps that the task may still make.
+        scope: The scope to cancel.
+        left: Number of steps left until the cancellation.
         task: The task.
     """
 
@@ -68,21 +68,21 @@
 
 
 class SlowStream:
-    """The caller's end of a connection: takes each write in two halves."""
+    """The caller's end of a connection; receives each write in two halves."""
 
     def __init__(self):
-        self.taken = b''
+        self.received = b''
 
     async def send_all(self, data):
         half = len(data) // 2
         await trio.lowlevel.checkpoint()
-        self.taken += data[:half]
+        self.received += data[:half]
         await trio.lowlevel.checkpoint()
-        self.taken += data[half:]
+        self.received += data[half:]
 
 
 class SlowConnection:
-    """What an answer needs of its connection."""
+    """The part of a connection that an answer uses."""
 
     def __init__(self):
         self.stream = SlowStream()
@@ -106,19 +106,19 @@
     body = b''
     with contextlib.suppress(h11.RemoteProtocolError):
         while True:
-            found = protocol.next_event()
-            if isinstance(found, h11.Data):
-                body += bytes(found.data)
-            elif isinstance(found, h11.EndOfMessage):
+            received = protocol.next_event()
+            if isinstance(received, h11.Data):
+                body += bytes(received.data)
+            elif isinstance(received, h11.EndOfMessage):
                 return body, True
     return body, False
 
 
 def resumable_router():
-    """Returns a router whose two upstreams go on where a request asks."""
+    """Returns a router whose two upstreams can resume a stream."""
     exchanges = ResumingExchanges(e1=(), e2=())
-    found = [fakes.upstream('e1'), fakes.upstream('e2')]
-    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *found)
+    listed = [fakes.upstream('e1'), fakes.upstream('e2')]
+    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *listed)
     return fakes.Router(content, exchanges)
 
 
@@ -130,64 +130,62 @@
 
 
 class ResumingExchanges(fakes.Exchanges):
-    async def open(self, one, repeatable):
+    async def open(self, upstream, repeatable):
         await trio.lowlevel.checkpoint()
-        return ResumingExchange(self, one.instance, fakes.reply())
+        return ResumingExchange(self, upstream.instance, fakes.reply())
 
 
-async def answer_with_a_cut(steps):
-    """Returns the answer of which an attempt was ended at one of its steps."""
+async def answer_with_cancelled_attempt(steps):
+    """Returns the answer after the first attempt was cancelled at a step."""
     router = resumable_router()
     attempt = router.forwarder.attempts.attempt
-    cut = CutAtCheckpoint(steps)
+    canceller = CancelAtStep(steps)
 
-    async def attempt_with_an_end(*args):
-        if cut.scope.cancel_called:
+    async def cancelled_attempt(*args):
+        if canceller.scope.cancel_called:
             await attempt(*args)
-        elif not await cut.run(functools.partial(attempt, *args)):
+        elif not await canceller.run(functools.partial(attempt, *args)):
             raise errors.UpstreamStalled('ended from outside')
 
-    router.forwarder.attempts.attempt = attempt_with_an_end
+    router.forwarder.attempts.attempt = cancelled_attempt
     answer = caller_answers.ConnectionAnswer(SlowConnection())
     with contextlib.suppress(errors.RequestError, h11.LocalProtocolError):
         await router.forwarder.forward(fakes.request(), answer)
     return answer, len(router.exchanges.sent)
 
 
-async def test_attempt_cut_at_any_step_leaves_no_gap(autojump_clock):
-    # A caller got a stream as complete with an event missing in its midst.
-    # The attempt at the first upstream was ended between the read of the
-    # event, which was counted as passed on, and the end of its write; the
-    # second upstream was asked to go on behind an event that the caller did
-    # not have. Whatever ends an attempt, and wherever: what the caller reads
-    # goes on without a gap, or breaks off.
+async def test_attempt_cancelled_at_any_step_leaves_no_gap(autojump_clock):
+    # If an attempt is cancelled between reading an event and the end of its
+    # write, the event must not count as relayed: the second upstream would
+    # resume after it, and the caller would get a complete stream with a gap.
     wrong = {}
     ends = collections.Counter()
     for steps in range(STEPS):
-        answer, sends = await answer_with_a_cut(steps)
-        body, complete = read_answer(answer.connection.stream.taken)
+        answer, sends = await answer_with_cancelled_attempt(steps)
+        body, complete = read_answer(answer.connection.stream.received)
         gap = not events().startswith(body)
         if gap or (complete and body != events()):
             wrong[steps] = (body, complete)
         ends[sends, complete] += 1
     assert wrong == {}
-    # some cuts broke the answer off, some had it go on, some came too late
+    # some cancellations ended the answer, some caused a resume, some came
+    # too late
     assert ends[1, False]
     assert ends[2, True]
     assert ends[1, True]
 
 
 class Upstream:
-    """Sends bytes in answer to each request, and closes.
+    """Sends prepared bytes in answer to each request, and closes.
 
     Attributes:
-        answers: What it sends, by the event behind which it is asked to go on.
-        asked: Those, in order.
+        answers: Answers by the last-event-id of the request.
+        resume_points: The last-event-id of each request, in order.
     """
 
     def __init__(self, answers):
         self.answers = answers
-        self.asked = []
+        self.resume_points = []
 
     async def serve(self, stream):
         data = b''
@@ -195,7 +193,7 @@
             data += await stream.receive_some(65536)
         head = data.lower().partition(b'last-event-id: ')[2]
         last = int(head.partition(b'\r\n')[0] or 0)
-        self.asked.append(last)
+        self.resume_points.append(last)
         await stream.send_all(self.answers[last])
         await stream.aclose()
 
@@ -216,18 +214,18 @@
     return b'%x\r\n%s\r\n' % (len(data), data)
 
 
-async def ask_over_sockets(nursery, answers):
-    """Returns what a caller reads, and what its upstreams were asked."""
-    data, asked = await bytes_over_sockets(nursery, answers)
-    return *read_answer(data), asked
+async def answer_over_sockets(nursery, answers):
+    """Returns the body, its completeness and the resume points requested."""
+    data, resume_points = await bytes_over_sockets(nursery, answers)
+    return *read_answer(data), resume_points
 
 
 async def bytes_over_sockets(
     nursery, answers, first_line=b'GET /chat/1 HTTP/1.1'
 ):
-    """Returns what a caller is sent, and what its upstreams were asked."""
+    """Returns the bytes sent to a caller and the resume points requested."""
     upstream = Upstream(answers)
-    found = []
+    listed = []
     for name in ('e1', 'e2'):
         serve = functools.partial(trio.serve_tcp, upstream.serve, 0, host=HOST)
         (listener,) = await nursery.start(serve)
@@ -235,8 +233,8 @@
         vm = upstreams.Vm(
             name, HOST, port, 'z', 'chat', upstreams.UpstreamKind.SERVICE
         )
-        found.append(forwarding.Upstream(name, vm, 8))
-    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *found)
+        listed.append(forwarding.Upstream(name, vm, 8))
+    content = fakes.snapshot(1, fakes.table(1, (RULE,)), *listed)
     router = fakes.Router(content, upstream_exchanges.UpstreamExchanges())
     server = caller_server.CallerServer(
         router.forwarder.forward, lambda: LIMITS, 100
@@ -252,58 +250,66 @@
     with trio.fail_after(8.0):
         while part := await stream.receive_some(65536):
             data += part
-    return data, upstream.asked
+    return data, upstream.resume_points
 
 
-async def test_stream_without_length_that_ends_within_an_event_goes_on(nursery):
-    # An upstream sends a stream that ends with its connection, and breaks
-    # off within an event. The caller got the half event and the end of a
-    # complete answer; nobody was asked for the rest.
-    torn = head() + events(1, 2) + event(3)[:9]
+async def test_stream_without_length_cut_within_an_event_is_resumed(nursery):
+    # A stream without a length is cut off within an event. The caller must not
+    # get the partial event and the end of a complete answer; the rest must be
+    # requested from another upstream.
+    truncated = head() + events(1, 2) + event(3)[:9]
     rest = head() + events(3)
-    body, complete, asked = await ask_over_sockets(nursery, {0: torn, 2: rest})
-    assert asked == [0, 2]
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: truncated, 2: rest}
+    )
+    assert resume_points == [0, 2]
     assert (body, complete) == (events(), True)
 
 
-async def test_stream_without_length_that_never_ends_well_breaks_off(nursery):
-    # both upstreams break off within an event: an answer that ends early
-    # must not look complete
-    torn = head() + events(1, 2) + event(3)[:9]
+async def test_stream_without_length_cut_twice_is_incomplete(nursery):
+    # both upstreams end within an event: the truncated answer must not look
+    # complete
+    truncated = head() + events(1, 2) + event(3)[:9]
     again = head() + event(3) + event(4)[:-1]
-    body, complete, asked = await ask_over_sockets(nursery, {0: torn, 2: again})
-    assert asked == [0, 2]
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: truncated, 2: again}
+    )
+    assert resume_points == [0, 2]
     assert (body, complete) == (events(1, 3), False)
 
 
-async def test_answer_whose_framing_ends_it_is_passed_on_whole(nursery):
-    # the upstream says by its length that the answer is whole; a last event
+async def test_answer_with_length_is_relayed_completely(nursery):
+    # the content-length shows that the answer is complete; a last event
     # without its blank line is part of it
-    whole = events(1, 2) + b'data: end\n'
-    length = b'content-length: %d\r\n' % len(whole)
-    body, complete, asked = await ask_over_sockets(
-        nursery, {0: head(length) + whole}
+    expected = events(1, 2) + b'data: end\n'
+    length = b'content-length: %d\r\n' % len(expected)
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: head(length) + expected}
     )
-    assert asked == [0]
-    assert (body, complete) == (whole, True)
+    assert resume_points == [0]
+    assert (body, complete) == (expected, True)
 
 
-async def test_stream_without_numbers_is_not_begun_again(nursery):
-    # An upstream numbers only its first event and breaks off later. Another
-    # one can't be told where to go on: what it would send again from there,
-    # the caller would read twice.
-    torn = head(CHUNKED) + chunk(event(1)) + chunk(b'data: more\n\n')
+async def test_stream_without_numbers_is_not_resumed(nursery):
+    # An upstream numbers only its first event and ends early. No resume point
+    # is known for the later events: another upstream would send them again,
+    # and the caller would read them twice.
+    truncated = head(CHUNKED) + chunk(event(1)) + chunk(b'data: more\n\n')
     again = head(CHUNKED) + chunk(b'data: more\n\n') + LAST_CHUNK
-    body, complete, asked = await ask_over_sockets(nursery, {0: torn, 1: again})
-    assert asked == [0]
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: truncated, 1: again}
+    )
+    assert resume_points == [0]
     assert (body, complete) == (event(1) + b'data: more\n\n', False)
 
 
-async def test_comment_without_a_number_hinders_no_resume(nursery):
-    torn = head(CHUNKED) + chunk(event(1)) + chunk(b': still here\n\n')
+async def test_comment_without_a_number_does_not_prevent_resume(nursery):
+    truncated = head(CHUNKED) + chunk(event(1)) + chunk(b': still here\n\n')
     rest = head(CHUNKED) + chunk(events(2)) + LAST_CHUNK
-    body, complete, asked = await ask_over_sockets(nursery, {0: torn, 1: rest})
-    assert asked == [0, 1]
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: truncated, 1: rest}
+    )
+    assert resume_points == [0, 1]
     assert (body, complete) == (
         event(1) + b': still here\n\n' + events(2),
         True,
@@ -311,7 +317,7 @@
 
 
 NUMBERLESS = b''.join(b'data: x%d\n\n' % number for number in range(1, 5))
-BEGUN_ANEW = {
+NOT_RESUMED = {
     'all without numbers': NUMBERLESS,
     'first without a number': b'data: x3\n\n' + events(3),
     'from the first': events(),
@@ -319,18 +325,18 @@
 }
 
 
-@pytest.mark.parametrize('way', sorted(BEGUN_ANEW))
-async def test_upstream_that_does_not_go_on_is_not_passed_on(way, nursery):
-    # A caller read events twice, or a gap, in an answer that looked complete.
-    # The upstream that was to go on behind event 2 began anew or left one
-    # out, and gave the event no number, or the last one no blank line.
-    torn = head(CHUNKED) + chunk(events(1, 2))
-    again = BEGUN_ANEW[way]
+@pytest.mark.parametrize('way', sorted(NOT_RESUMED))
+async def test_answer_that_does_not_resume_is_not_relayed(way, nursery):
+    # The upstream that should resume after event 2 starts again or skips an
+    # event, without a number or without the last blank line. If relayed, the
+    # caller would get repeated or missing events in a complete answer.
+    truncated = head(CHUNKED) + chunk(events(1, 2))
+    again = NOT_RESUMED[way]
     length = b'content-length: %d\r\n' % len(again)
-    body, complete, asked = await ask_over_sockets(
-        nursery, {0: torn, 2: head(length) + again}
+    body, complete, resume_points = await answer_over_sockets(
+        nursery, {0: truncated, 2: head(length) + again}
     )
-    assert asked == [0, 2]
+    assert resume_points == [0, 2]
     assert (body, complete) == (events(1, 2), False)
 
 
@@ -338,69 +344,69 @@
     return data.replace(b'\n', b'\r\n')
 
 
-async def test_events_with_other_line_ends_go_on_elsewhere(nursery):
-    # such a stream reached its caller only at its end, and went on nowhere
-    torn = head(CHUNKED) + chunk(crlf(events(1, 3)))
+async def test_events_with_crlf_line_ends_are_resumed(nursery):
+    # events with CRLF line ends must be relayed as they arrive and resumed
+    truncated = head(CHUNKED) + chunk(crlf(events(1, 3)))
     rest = head(CHUNKED) + chunk(crlf(event(4))) + LAST_CHUNK
-    found = await ask_over_sockets(nursery, {0: torn, 3: rest})
-    assert found == (crlf(events()), True, [0, 3])
+    result = await answer_over_sockets(nursery, {0: truncated, 3: rest})
+    assert result == (crlf(events()), True, [0, 3])
 
 
-async def test_gap_between_events_with_other_line_ends_is_seen(nursery):
+async def test_gap_between_events_with_crlf_line_ends_is_detected(nursery):
     gap = crlf(event(1) + event(2) + event(4))
-    body, _, asked = await ask_over_sockets(
+    body, _, resume_points = await answer_over_sockets(
         nursery, {0: head(CHUNKED) + chunk(gap) + LAST_CHUNK}
     )
-    assert asked == [0, 0]
+    assert resume_points == [0, 0]
     assert b'id:' not in body
 
 
-WHOLE_WITHOUT_LENGTH = {
+COMPLETE_WITHOUT_LENGTH = {
     'events': events(),
     'events with other line ends': crlf(events()),
     'no events': b'{"answer": 1}\n',
 }
 
 
-@pytest.mark.parametrize('what', sorted(WHOLE_WITHOUT_LENGTH))
-async def test_whole_answer_without_length_is_passed_on(what, nursery):
-    whole = WHOLE_WITHOUT_LENGTH[what]
-    found = await ask_over_sockets(nursery, {0: head() + whole})
-    assert found == (whole, True, [0])
+@pytest.mark.parametrize('what', sorted(COMPLETE_WITHOUT_LENGTH))
+async def test_complete_answer_without_length_is_relayed(what, nursery):
+    expected = COMPLETE_WITHOUT_LENGTH[what]
+    result = await answer_over_sockets(nursery, {0: head() + expected})
+    assert result == (expected, True, [0])
 
 
-async def test_chunked_answer_without_its_last_blank_line_is_whole(nursery):
-    whole = events()[:-1]
-    answer = head(CHUNKED) + chunk(whole) + LAST_CHUNK
-    found = await ask_over_sockets(nursery, {0: answer})
-    assert found == (whole, True, [0])
+async def test_chunked_answer_without_last_blank_line_is_complete(nursery):
+    expected = events()[:-1]
+    answer = head(CHUNKED) + chunk(expected) + LAST_CHUNK
+    result = await answer_over_sockets(nursery, {0: answer})
+    assert result == (expected, True, [0])
 
 
-async def test_first_event_that_is_cut_is_not_the_whole_answer(nursery):
+async def test_truncated_first_event_is_not_a_complete_answer(nursery):
     kind = b'content-type: text/event-stream\r\n'
-    body, complete, asked = await ask_over_sockets(
+    body, complete, resume_points = await answer_over_sockets(
         nursery, {0: head(kind) + event(1)[:-3]}
     )
     assert (body, complete) != (event(1)[:-3], True)
-    assert asked == [0, 0]
+    assert resume_points == [0, 0]
 
 
 @pytest.mark.parametrize('text', [b'9' * 5000, b'9' * 20])
-async def test_number_that_is_too_long_is_none(text, nursery):
-    # the number cost the request, or all lines on it
+async def test_event_number_that_is_too_long_is_ignored(text, nursery):
+    # the conversion of such a number must not fail the request
     stream = b'id: %s\ndata: x\n\n' % text
     answer = head(CHUNKED) + chunk(stream) + LAST_CHUNK
-    found = await ask_over_sockets(nursery, {0: answer})
-    assert found == (stream, True, [0])
+    result = await answer_over_sockets(nursery, {0: answer})
+    assert result == (stream, True, [0])
 
 
-async def test_caller_of_an_older_protocol_sees_that_its_stream_broke(nursery):
-    # To a caller of HTTP/1.0 an answer ends with its connection: closed in
-    # the usual way, a part of a stream passed for the whole.
-    torn = head(CHUNKED) + chunk(events(1, 2))
+async def test_http_1_0_caller_detects_a_truncated_stream(nursery):
+    # In HTTP/1.0 the end of the connection ends the answer: after a regular
+    # close, a truncated stream would look complete.
+    truncated = head(CHUNKED) + chunk(events(1, 2))
     with pytest.raises(trio.BrokenResourceError):
         await bytes_over_sockets(
-            nursery, {0: torn, 2: head(CHUNKED)}, b'GET /chat/1 HTTP/1.0'
+            nursery, {0: truncated, 2: head(CHUNKED)}, b'GET /chat/1 HTTP/1.0'
         )
 
 
@@ -410,7 +416,7 @@
     assert data.endswith(b'\r\n\r\n')
 
 
-async def test_nothing_is_written_behind_a_write_that_was_cut(autojump_clock):
+async def test_nothing_is_written_after_an_interrupted_write(autojump_clock):
     answer = caller_answers.ConnectionAnswer(SlowConnection())
     await answer.start(200, ())
     with trio.CancelScope() as scope:
--- a/tests/test_transport/test_caller_connections.py
+++ b/tests/test_transport/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections over sockets."""
+"""Connections of callers over sockets."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class Router:
-    """A server whose handler a test sets."""
+    """A handler of requests whose behaviour a test sets."""
 
     def __init__(self):
         self.requests = []
         self.step = self.echo
-        self.left = trio.Event()
+        self.disconnected = trio.Event()
 
     async def handle(self, request, answer):
         self.requests.append(request)
@@ -41,7 +41,7 @@
             await trio.sleep_forever()
         finally:
             if answer.disconnected:
-                self.left.set()
+                self.disconnected.set()
 
     async def half(self, request, answer):
         await answer.start(200, ())
@@ -65,7 +65,7 @@
         raise errors.OutcomeUnknown('no answer before the deadline')
 
     async def fault(self, request, answer):
-        raise KeyError('a mistake of ours')
+        raise KeyError('a bug')
 
     async def refuse(self, request, answer):
         raise errors.NoUpstream('none', 0.25)
@@ -87,8 +87,8 @@
     return await trio.open_tcp_stream(HOST, router.port)
 
 
-async def talk(router, data):
-    """Returns all that the router sends until it closes."""
+async def exchange(router, data):
+    """Sends data; returns all bytes that the router sends until it closes."""
     stream = await connect(router)
     await stream.send_all(data)
     return await read_all(stream)
@@ -105,30 +105,31 @@
     return b''.join(parts)
 
 
-async def test_body_in_chunks_is_read_whole(router):
-    got = await talk(
+async def test_chunked_body_is_read_completely(router):
+    received = await exchange(
         router,
         b'POST /a HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n'
         b'2\r\nab\r\n1\r\nc\r\n0\r\n\r\n',
     )
-    assert got.endswith(b'\r\n\r\nabc')
+    assert received.endswith(b'\r\n\r\nabc')
 
 
 async def test_connection_serves_many_requests_and_ends_when_idle(router):
-    got = await talk(router, GET + GET)
-    assert got.count(b'HTTP/1.1 200') == 2
+    received = await exchange(router, GET + GET)
+    assert received.count(b'HTTP/1.1 200') == 2
     assert len(router.requests) == 2
 
 
-async def test_request_within_a_body_is_none(router):
-    # A body holds what looks like a request. Both a length and a transfer
-    # coding would let this router and an upstream disagree on its end.
-    got = await talk(
+async def test_request_within_a_body_is_not_executed(router):
+    # Request smuggling: with both a length and a transfer coding, this router
+    # and an upstream could disagree on the end of a body that contains what
+    # looks like a request.
+    received = await exchange(
         router,
         b'POST /a HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\n'
         b'transfer-encoding: chunked\r\n\r\n0\r\n\r\n' + GET,
     )
-    assert got.startswith(b'HTTP/1.1 400')
+    assert received.startswith(b'HTTP/1.1 400')
     assert not router.requests
 
 
@@ -143,52 +144,52 @@
         (b'GET /a HTTP/1.1\r\nhost: a\r\n', b'408'),
     ],
 )  # fmt: skip
-async def test_limits_are_told_before_the_connection_closes(
+async def test_exceeded_limit_is_reported_before_the_connection_closes(
     router, data, status
 ):
-    got = await talk(router, data)
-    assert got.startswith(b'HTTP/1.1 ' + status)
+    received = await exchange(router, data)
+    assert received.startswith(b'HTTP/1.1 ' + status)
     assert not router.requests
 
 
-async def test_caller_that_leaves_ends_its_request(router):
-    # The caller closes its connection while an upstream works. Unless that
-    # shows at once, the work goes on for nobody and others wait for a slot.
+async def test_disconnect_of_the_caller_cancels_its_request(router):
+    # A caller closes its connection while an upstream works. Unless this is
+    # detected at once, the upstream continues and other requests wait.
     router.step = router.hang
     stream = await connect(router)
     await stream.send_all(GET)
     await trio.sleep(0.05)
     await stream.aclose()
     with trio.fail_after(1.0):
-        await router.left.wait()
+        await router.disconnected.wait()
 
 
-async def test_answer_that_breaks_off_does_not_look_complete(router):
+async def test_truncated_answer_does_not_look_complete(router):
     router.step = router.half
-    got = await talk(router, GET)
-    assert b'half' in got
-    assert b'0\r\n\r\n' not in got
+    received = await exchange(router, GET)
+    assert b'half' in received
+    assert b'0\r\n\r\n' not in received
 
 
-async def test_refusal_says_when_to_come_back_to_the_millisecond(router):
+async def test_retry_after_is_given_in_fractions_of_a_second(router):
     router.step = router.refuse
-    got = await talk(router, GET)
-    assert got.startswith(b'HTTP/1.1 503')
-    assert b'retry-after: 0.25\r\n' in got
+    received = await exchange(router, GET)
+    assert received.startswith(b'HTTP/1.1 503')
+    assert b'retry-after: 0.25\r\n' in received
 
 
 async def test_fault_of_the_router_ends_one_connection_only(router):
-    # A mistake of ours in one request must not end the process, and with it
-    # the requests of everybody else.
+    # A bug that one request triggers must not end the process and with it
+    # the requests of other callers.
     router.step = router.fault
-    assert not (await talk(router, GET)).startswith(b'HTTP/1.1 2')
+    assert not (await exchange(router, GET)).startswith(b'HTTP/1.1 2')
     router.step = router.echo
-    assert (await talk(router, GET)).startswith(b'HTTP/1.1 200')
+    assert (await exchange(router, GET)).startswith(b'HTTP/1.1 200')
 
 
 async def test_stop_closes_idle_connections_after_their_answers(router):
-    # The router stops. A caller that keeps its connection gets the answer
-    # to its next request, and with it the word to close.
+    # While the router stops, a caller on a persistent connection gets the
+    # answer to its next request with the header `connection: close`.
     stream = await connect(router)
     await stream.send_all(GET)
     assert b'connection: close' not in await stream.receive_some()
@@ -206,62 +207,64 @@
     router.server.close_idle()
     assert (await read_all(stream)).startswith(b'HTTP/1.1 200')
     with trio.fail_after(1.0):
-        await router.server.wait_empty()
+        await router.server.wait_all_closed()
 
 
-async def test_stop_takes_no_new_connection_in_the_end(router):
-    # All routers of a zone stop at once, so that the balancer still sends
-    # callers here. A request that came seven seconds after the signal was
-    # taken, and cut off by the end of the stop a second later; refused, its
-    # caller goes to another router at once.
+async def test_stop_refuses_new_connections_at_its_end(router):
+    # All routers of an availability zone stop at once, so the load balancer
+    # still sends callers here. A request accepted seven seconds after the
+    # signal was cut off a second later by the end of the stop; if its
+    # connection is refused, the caller uses another router at once.
     stream = await connect(router)
     await stream.send_all(GET)
     await stream.receive_some()
     router.server.begin_stop()
-    assert (await talk(router, GET)).startswith(b'HTTP/1.1 200')
+    assert (await exchange(router, GET)).startswith(b'HTTP/1.1 200')
     router.server.close_idle()
     await trio.testing.wait_all_tasks_blocked()
     with pytest.raises(OSError, match='connect'):
         await connect(router)
     assert await read_all(stream) == b''
     with trio.fail_after(1.0):
-        await router.server.wait_empty()
+        await router.server.wait_all_closed()
 
 
 async def test_too_many_connections_are_closed(router):
     streams = [await connect(router) for _ in range(10)]
     await trio.sleep(0.05)
-    assert b'HTTP' not in await talk(router, GET)
+    assert b'HTTP' not in await exchange(router, GET)
     for stream in streams:
         await stream.aclose()
 
 
 @pytest.mark.parametrize('step', ['cut', 'cut_end'])
-async def test_answer_cut_in_its_last_write_ends_the_connection(router, step):
-    # The deadline comes while the last bytes of an answer are written. The
-    # protocol counts them as sent; the next answer on the connection would
-    # be read as the rest of this one.
+async def test_answer_cancelled_in_its_last_write_ends_the_connection(
+    router, step
+):
+    # The deadline passes while the last bytes of an answer are written. The
+    # protocol state counts them as sent; the caller would take the next answer
+    # on the connection for the rest of this one.
     router.step = getattr(router, step)
-    heard = await talk(router, GET + GET)
+    received = await exchange(router, GET + GET)
     assert len(router.requests) == 1
-    assert b'x-a' not in heard
-    assert not heard.endswith(b'0\r\n\r\n')
+    assert b'x-a' not in received
+    assert not received.endswith(b'0\r\n\r\n')
 
 
 @pytest.fixture
 def free_address():
-    with socket.socket() as found:
-        found.bind((HOST, 0))
-        return f'{HOST}:{found.getsockname()[1]}'
+    with socket.socket() as probe:
+        probe.bind((HOST, 0))
+        return f'{HOST}:{probe.getsockname()[1]}'
 
 
-async def test_caller_that_comes_while_the_router_starts_is_served(
+async def test_caller_that_connects_during_the_start_is_served(
     nursery, monkeypatch, free_address
 ):
-    # All VMs lost power. A caller came while its router loaded its libraries
-    # and was refused, with no other router to go to.
+    # After all VMs lost power, a caller that connects while its router imports
+    # libraries must not be refused: there is no other router.
     monkeypatch.setenv(early_listener.ADDRESS_VARIABLE, free_address)
-    early_listener.open_named()
+    early_listener.open_from_environment()
     port = int(free_address.rpartition(':')[2])
     stream = await trio.open_tcp_stream(HOST, port)
     await stream.send_all(GET)
@@ -271,9 +274,9 @@
     began = trio.current_time()
     await nursery.start(functools.partial(server.serve, HOST, port))
     with trio.fail_after(5.0):
-        heard = await stream.receive_some()
-    assert heard.startswith(b'HTTP/1.1 200')
-    # the time that it waited is the caller's own, and is not given away
+        received = await stream.receive_some()
+    assert received.startswith(b'HTTP/1.1 200')
+    # the time limit of the request includes the wait for the router
     assert router.requests[0].arrived < began - 0.09
     await stream.send_all(GET)
     with trio.fail_after(5.0):
@@ -285,26 +288,26 @@
     monkeypatch, free_address
 ):
     monkeypatch.setenv(early_listener.ADDRESS_VARIABLE, free_address)
-    early_listener.open_named()
-    assert early_listener.take(HOST, 1) is None
+    early_listener.open_from_environment()
+    assert early_listener.take_listener(HOST, 1) is None
     with pytest.raises(OSError, match='connect'):
         await trio.open_tcp_stream(HOST, int(free_address.rpartition(':')[2]))
 
 
 @pytest.mark.parametrize('address', ['8080', ':8080', 'a:b', '127.0.0.1:'])
-def test_early_address_that_is_none_ends_the_process(address, monkeypatch):
+def test_invalid_early_address_ends_the_process(address, monkeypatch):
     monkeypatch.setenv(early_listener.ADDRESS_VARIABLE, address)
     with pytest.raises(SystemExit, match='HOST:PORT'):
-        early_listener.open_named()
+        early_listener.open_from_environment()
 
 
-def test_early_address_that_is_taken_is_told_and_left_to_the_server(
+def test_early_address_in_use_is_reported_and_not_fatal(
     monkeypatch, free_address, capsys
 ):
     monkeypatch.setenv(early_listener.ADDRESS_VARIABLE, free_address)
-    early_listener.open_named()
-    early_listener.open_named()
+    early_listener.open_from_environment()
+    early_listener.open_from_environment()
     assert free_address in capsys.readouterr().err
     port = int(free_address.rpartition(':')[2])
-    early_listener.take(HOST, port).socket.close()
-    assert early_listener.take(HOST, port) is None
+    early_listener.take_listener(HOST, port).socket.close()
+    assert early_listener.take_listener(HOST, port) is None
--- a/tests/test_transport/test_callers.py
+++ b/tests/test_transport/test_callers.py
@@ -13,7 +13,7 @@
 from tests import path_fakes
 
 
-async def test_wrong_credential_reaches_nothing():
+async def test_wrong_credential_is_rejected():
     async with path_fakes.running() as path:
         for value in ('Bearer wrong', 'Basic x', 'Bearer', 'Bearer ,', ''):
             response = await path.client.post(
@@ -45,9 +45,9 @@
     assert 'x-resume-offset' not in seen[0]
 
 
-async def test_changed_credentials_hold_with_the_next_revision():
-    # An operator takes a leaked credential out. The cache of checked
-    # credentials must not let it in any longer.
+async def test_changed_credentials_apply_with_the_next_revision():
+    # After an operator removes a leaked credential, the cache of checked
+    # credentials must not accept it any longer.
     credentials = caller_credentials.Credentials()
     configurations = path_fakes.FakeConfigurations(
         path_fakes.make_configuration()
@@ -61,7 +61,7 @@
         credentials.customer(second, header)
     except errors.NotAuthenticated:
         return
-    raise AssertionError('the old credential was let in')
+    raise AssertionError('the old credential was accepted')
 
 
 async def test_problem_names_request_and_decision():
@@ -94,9 +94,9 @@
         yield b'x' * 1000
 
 
-async def test_body_that_does_not_come_is_refused():
-    # A caller states a length and sends nothing: without a limit it would
-    # hold a connection and its task for ever.
+async def test_body_that_does_not_arrive_is_refused():
+    # A caller states a length and sends nothing: without a timeout it would
+    # occupy a connection and its task forever.
     limits = http_limits.HttpLimits(body_seconds=0.1)
     async with path_fakes.running(limits=limits) as path:
         stream = await trio.open_tcp_stream(path_fakes.HOST, path.port)
@@ -114,13 +114,13 @@
 async def test_readiness_fails_without_a_configuration_and_at_a_stop():
     async with path_fakes.running() as path:
         ready = await path.client.get('/readyz')
-        item, path.app.configurations.document = (
+        document, path.app.configurations.document = (
             path.app.configurations.document,
             None,
         )
         unready = await path.client.get('/readyz')
         refused = await path.client.get('/alerts/a')
-        path.app.configurations.document = item
+        path.app.configurations.document = document
         path.app.begin_stop()
         stopping = await path.client.get('/readyz')
         served = await path.client.get('/alerts/a')
@@ -150,9 +150,9 @@
     assert again.status_code == 200
 
 
-async def test_caller_that_goes_away_cancels_the_upstream():
+async def test_disconnect_of_the_caller_cancels_the_upstream():
     # A caller closes its connection in the middle of a long answer. The
-    # engine must stop working for it, and the permit must come back.
+    # engine must stop working on it, and the permit must be released.
     slow = {'step_seconds': 0.01}
     async with path_fakes.running(engine_kwargs=slow) as path:
         body = path_fakes.chat_body(stream=True, max_tokens=2000)
@@ -169,32 +169,32 @@
     assert path.last_decision().error == 'CallerGone'
 
 
-async def test_caller_that_leaves_as_its_answer_begins_gives_the_permit_back(
+async def test_disconnect_as_the_answer_begins_releases_the_permit(
     monkeypatch,
 ):
-    # A caller closes its connection in the same turn of the event loop in
-    # which its answer begins. The dispatcher had handed the answer over, and
-    # the body, which closes it, was not entered: the cancellation came with
-    # the head. The permit stayed taken, and the engine went on, for ever.
+    # A caller closes its connection in the turn of the event loop in which its
+    # answer begins: the request is cancelled after the dispatcher returned the
+    # answer and before the body that closes it is entered. Without a further
+    # close, the permit was never released and the engine never stopped.
     async with path_fakes.running() as path:
-        begun = trio.Event()
+        answer_begun = trio.Event()
         dispatch = path.dispatcher.dispatch
 
-        async def dispatch_as_the_caller_leaves(request):
+        async def dispatch_during_disconnect(request):
             answer = await dispatch(request)
-            begun.set()
-            # the rest of the turn: the cancellation is there, and not seen
+            answer_begun.set()
+            # the rest of the turn: the cancellation is pending, not delivered
             with trio.CancelScope(shield=True) as scope:
-                while not cancelled_behind(scope):  # noqa: ASYNC110
+                while not cancelled_outside(scope):  # noqa: ASYNC110
                     await trio.sleep(0.001)
             return answer
 
         monkeypatch.setattr(
-            path.dispatcher, 'dispatch', dispatch_as_the_caller_leaves
+            path.dispatcher, 'dispatch', dispatch_during_disconnect
         )
         stream = await trio.open_tcp_stream(path_fakes.HOST, path.port)
         await stream.send_all(chat_request(stream=True, max_tokens=2000))
-        await begun.wait()
+        await answer_begun.wait()
         await stream.aclose()
         with trio.move_on_after(10):
             await path.admission.wait_all_released()
@@ -202,8 +202,8 @@
     assert path.dispatcher.in_progress == 0
 
 
-def cancelled_behind(scope):
-    """Returns whether a task is cancelled but for a shield."""
+def cancelled_outside(scope):
+    """Returns whether a cancellation is pending outside of a shield."""
     scope.shield = False
     cancelled = trio.current_effective_deadline() == float('-inf')
     scope.shield = True
@@ -250,7 +250,7 @@
     derandomize=True,
     deadline=None,
     database=None,
-    # a shrink would run the servers hundreds of times
+    # shrinking would run the servers hundreds of times
     phases=(hypothesis.Phase.generate,),
 )
 @hypothesis.given(
@@ -263,9 +263,9 @@
     paths=strategies.lists(PATHS, min_size=10, max_size=10),
 )
 def test_no_input_stops_the_router(bodies, values, paths):
-    # Bodies, header values and paths of any kind: each gets a clear answer
-    # or a closed connection, never the insides of the router, and a good
-    # request after it is served.
+    # Arbitrary bodies, header values and paths get an HTTP answer or a closed
+    # connection and expose no internal details, and a valid request after
+    # them is served.
     trio.run(send_bad_input, bodies, values, paths)
 
 
--- a/tests/test_transport/test_serving.py
+++ b/tests/test_transport/test_serving.py
@@ -1,4 +1,4 @@
-"""The graceful stop and the limits of a server."""
+"""Graceful stop and limits of the server."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from lavenderbend.protocol import http_limits
 from lavenderbend.transport import serving
-from lavenderbend.transport import stall_watch
+from lavenderbend.transport import stall_detector
 from tests import path_fakes
 
 REQUEST = b'GET / HTTP/1.1\r\nhost: x\r\n\r\n'
@@ -18,10 +18,10 @@
 
 
 class SlowApp:
-    """Sends a head at once and the rest when it is told to."""
+    """Sends the head at once, and the rest after `proceed` is set."""
 
     def __init__(self, body=b'x'):
-        self.go_on = trio.Event()
+        self.proceed = trio.Event()
         self.body = body
         self.begun = 0
         self.ended = []
@@ -36,7 +36,7 @@
         )
         body = {'type': 'http.response.body', 'more_body': True}
         await send({**body, 'body': b'first'})
-        await self.go_on.wait()
+        await self.proceed.wait()
         await send({**body, 'body': self.body})
         await send({'type': 'http.response.body', 'body': b''})
         self.ended.append(scope['path'])
@@ -83,9 +83,9 @@
 
 
 async def test_stop_lets_streams_in_progress_finish():
-    # An operator replaces a router while a summary is being streamed. The
-    # listener closes, the stream goes on to its end, and the server ends by
-    # itself; no request is cut off.
+    # An operator replaces a router while an answer is streamed. The listener
+    # closes, the stream completes, and then the server ends; no request is
+    # cut off.
     app = SlowApp(b'last')
     shutdown = trio.Event()
     async with trio.open_nursery() as nursery:
@@ -94,7 +94,7 @@
         await read_until(stream, b'first')
         shutdown.set()
         await until_refused(port)
-        app.go_on.set()
+        app.proceed.set()
         data = await read_until(stream, b'0\r\n\r\n')
         rest = await read_until(stream, b'never')
     assert b'last' in data
@@ -103,10 +103,10 @@
 
 
 async def test_stop_closes_idle_connections():
-    # A caller holds a connection without a request; it must not hold up the
-    # stop.
+    # A caller keeps a connection open without a request; this must not delay
+    # the stop.
     app = SlowApp()
-    app.go_on.set()
+    app.proceed.set()
     shutdown = trio.Event()
     async with trio.open_nursery() as nursery:
         port = await start(nursery, app, shutdown)
@@ -117,14 +117,14 @@
             assert await stream.receive_some() == b''
 
 
-async def test_stop_takes_connections_that_the_kernel_had_accepted(
+async def test_stop_serves_connections_in_the_backlog(
     monkeypatch,
 ):
-    # A request arrives in the moment in which the listener is about to
-    # close; reset, it would be a request cut off by a planned stop.
+    # A connection is in the backlog when the listener is about to close. If it
+    # were reset, a planned stop would lose its request.
     monkeypatch.setattr(serving, 'LAST_ACCEPT_SECONDS', 2.0)
     app = SlowApp()
-    app.go_on.set()
+    app.proceed.set()
     shutdown = trio.Event()
     async with trio.open_nursery() as nursery:
         port = await start(nursery, app, shutdown)
@@ -135,9 +135,10 @@
             assert data.startswith(b'HTTP/1.1 200')
 
 
-async def test_stop_ends_in_time_though_a_stream_does_not():
-    # A stream that never ends must not keep the process for ever: after the
-    # grace it is broken off, without the end that would make it look whole.
+async def test_stop_ends_after_the_grace_period_despite_a_stream():
+    # A stream that never ends must not keep the process running: after the
+    # grace period it is cancelled, without the end that would make it look
+    # complete.
     app = SlowApp()
     shutdown = trio.Event()
     async with trio.open_nursery() as nursery:
@@ -152,10 +153,10 @@
     assert b'0\r\n\r\n' not in data
 
 
-async def test_close_asked_for_by_either_side_closes():
-    # quart-trio cancels the response's task just as hypercorn closes the
-    # connection in it; the connection then stayed open for ever, and a
-    # router that was stopping waited for it.
+async def test_connection_closes_on_request_of_either_side():
+    # quart-trio cancels the task of the response while hypercorn closes the
+    # connection in it. Without a shield, the connection stayed open forever
+    # and a stopping router waited for it.
     async with path_fakes.running() as path:
         stream = await connect(
             path.port,
@@ -169,9 +170,9 @@
     assert more.startswith(b'HTTP/1.1 401')
 
 
-async def test_caller_that_does_not_read_is_broken_off(monkeypatch):
-    # A caller asks for a large answer and stops reading. Its write must end
-    # in time, or it would hold the answer and its upstream for ever.
+async def test_connection_of_a_caller_that_does_not_read_is_reset(monkeypatch):
+    # A caller requests a large answer and stops reading. The write must time
+    # out, or it would occupy the answer and its upstream forever.
     limits = http_limits.HttpLimits(
         send_seconds=0.1, send_buffer_bytes=8 * 1024
     )
@@ -184,7 +185,7 @@
 
     monkeypatch.setattr(serving.BoundedStream, 'reset', note_reset)
     app = SlowApp(b'x' * 20_000_000)
-    app.go_on.set()
+    app.proceed.set()
     async with trio.open_nursery() as nursery:
         port = await start(nursery, app, trio.Event(), limits)
         stream = await connect(port)
@@ -196,9 +197,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_fault_on_one_connection_leaves_the_others(monkeypatch):
-    # A connection fails inside the HTTP library. Its error, in a group,
-    # would end the listener and cut off every other caller.
+async def test_fault_on_one_connection_does_not_affect_others(monkeypatch):
+    # An error in the HTTP library, raised in an exception group, must not end
+    # the listener and the connections of all other callers.
     run = serving.tcp_server.TCPServer.run
     failures = [ExceptionGroup('fault', [RuntimeError('inside')])]
 
@@ -209,7 +210,7 @@
 
     monkeypatch.setattr(serving.tcp_server.TCPServer, 'run', fail_once)
     app = SlowApp()
-    app.go_on.set()
+    app.proceed.set()
     async with trio.open_nursery() as nursery:
         port = await start(nursery, app, trio.Event())
         first = await trio.open_tcp_stream(path_fakes.HOST, port)
@@ -220,21 +221,21 @@
     assert data.startswith(b'HTTP/1.1 200')
 
 
-async def test_wait_that_cannot_be_ended_leaves_the_watch_running():
-    # A socket is closed in the moment in which the watch ends its wait. The
-    # watch is a system task: an error in it ends the process.
+async def test_failed_abort_does_not_end_the_stall_detector():
+    # A socket is already closed when the detector aborts it. The detector runs
+    # in a system task: an error in it would end the process.
     ended = []
 
     def fail():
         raise OSError('closed')
 
-    watch = stall_watch.StallWatch(1.0)
-    waiters = [stall_watch.Waiter(fail)]
-    waiters.append(stall_watch.Waiter(lambda: ended.append(True)))
+    detector = stall_detector.StallDetector(1.0)
+    waiters = [stall_detector.Waiter(fail)]
+    waiters.append(stall_detector.Waiter(lambda: ended.append(True)))
     for waiter in waiters:
         waiter.since = 0.0
-        watch.waiters.add(waiter)
-    watch.check(5.0)
+        detector.waiters.add(waiter)
+    detector.check(5.0)
     assert ended == [True]
     assert all(waiter.expired for waiter in waiters)
 
@@ -251,7 +252,7 @@
             data = await read_until(await connect(port), b'first')
         except trio.BrokenResourceError:
             data = b''
-        app.go_on.set()
+        app.proceed.set()
         for stream in held:
             await stream.aclose()
         nursery.cancel_scope.cancel()
@@ -261,8 +262,8 @@
 
 @pytest.mark.parametrize('length', [5000, 200_000])
 async def test_large_header_is_refused(length):
-    # The library bounds headers that come in pieces; one that comes whole
-    # in a single read got past it.
+    # The HTTP library only limits headers that arrive in several reads; one
+    # that arrives in a single read must be limited too.
     limits = http_limits.HttpLimits(header_bytes=1024)
     app = SlowApp()
     async with trio.open_nursery() as nursery:
@@ -286,7 +287,7 @@
 
 
 async def cancelled_app(scope, receive, send):
-    """Is cancelled between the head and the body of its answer."""
+    """Is cancelled while it sends the head of its answer."""
     if scope['type'] != 'http':
         return
     if scope['path'] == '/gone':
@@ -308,17 +309,17 @@
 
 
 async def test_answer_cancelled_at_its_head_ends_one_connection(nursery):
-    # a clerk's browser goes away just as the head of its answer is sent:
-    # the error that the server then tried to send broke the protocol, and
-    # the whole router ended with every other clerk's answer
+    # A caller disconnects while the head of its answer is sent. The error
+    # response that the server then tries to send violates the protocol; this
+    # must not end the router and the answers of other callers.
     serve = functools.partial(
         serving.serve, cancelled_app, '127.0.0.1', 0, shutdown=trio.Event()
     )
     port = await nursery.start(serve)
-    gone = await trio.open_tcp_stream('127.0.0.1', port)
-    await gone.send_all(REQUEST.replace(b'GET /', b'GET /gone'))
+    disconnected = await trio.open_tcp_stream('127.0.0.1', port)
+    await disconnected.send_all(REQUEST.replace(b'GET /', b'GET /disconnected'))
     with contextlib.suppress(trio.BrokenResourceError):
-        while await gone.receive_some():
+        while await disconnected.receive_some():
             pass
 
     other = await trio.open_tcp_stream('127.0.0.1', port)
--- a/tests/test_transport/test_tls.py
+++ b/tests/test_transport/test_tls.py
@@ -41,7 +41,7 @@
     return Files(tmp_path)
 
 
-async def answer_ping(peer_id, item):
+async def answer_ping(peer_id, ping):
     return messages.Ack([peer_id])
 
 
@@ -53,8 +53,8 @@
     return link
 
 
-def introduce(first, *others):
-    first.set_peers({item.name: ('127.0.0.1', item.port) for item in others})
+def connect_to(first, *others):
+    first.set_peers({link.name: ('127.0.0.1', link.port) for link in others})
 
 
 @pytest.mark.parametrize('kind', list(links.LINKS))
@@ -62,7 +62,7 @@
     cls = links.LINKS.get(kind)
     first = await make(nursery, 'r1', files.issue('r1'), cls)
     second = await make(nursery, 'r2', files.issue('r2'), cls)
-    introduce(first, second)
+    connect_to(first, second)
 
     answer = await first.request('r2', messages.Ping(), 10)
 
@@ -72,7 +72,7 @@
 async def test_plain_peer_is_refused(nursery, files):
     first = await make(nursery, 'r1', None)
     second = await make(nursery, 'r2', files.issue('r2'))
-    introduce(first, second)
+    connect_to(first, second)
 
     with pytest.raises(errors.PeerUnreachable):
         await first.request('r2', messages.Ping(), 10)
@@ -84,7 +84,7 @@
 async def test_certificate_of_another_authority_is_refused(nursery, files):
     first = await make(nursery, 'r1', files.issue('r1', ca=trustme.CA()))
     second = await make(nursery, 'r2', files.issue('r2'))
-    introduce(first, second)
+    connect_to(first, second)
 
     with pytest.raises(errors.PeerUnreachable):
         await first.request('r2', messages.Ping(), 10)
@@ -94,15 +94,15 @@
 
 @pytest.mark.parametrize('kind', list(links.LINKS))
 async def test_router_cannot_take_the_name_of_another(nursery, files, kind):
-    # a router whose key has leaked says that it is another one, to get the
-    # permits and answers meant for that. Its certificate names only itself.
+    # A router with a leaked key claims the id of another router, to get the
+    # permits and answers meant for that. Its certificate has only its own id.
     cls = links.LINKS.get(kind)
-    thief = await make(nursery, 'r3', files.issue('r1'), cls)
+    impostor = await make(nursery, 'r3', files.issue('r1'), cls)
     second = await make(nursery, 'r2', files.issue('r2'), cls)
-    introduce(thief, second)
+    connect_to(impostor, second)
 
     with pytest.raises(errors.PeerUnreachable):
-        await thief.request('r2', messages.Ping(), 10)
+        await impostor.request('r2', messages.Ping(), 10)
 
     assert second.dropped['bad hello'] == 1
 
@@ -112,18 +112,18 @@
     cls = links.LINKS.get(kind)
     first = await make(nursery, 'r1', files.issue('r1'), cls)
     second = await make(nursery, 'r2', files.issue('r9'), cls)
-    introduce(first, second)
+    connect_to(first, second)
 
     with pytest.raises(errors.PeerUnreachable):
         await first.request('r2', messages.Ping(), 10)
 
 
-async def test_new_certificates_hold_without_a_restart(nursery, files):
-    # certificates last days and are replaced by files while routers run.
-    # New connections must use the new ones; those in use stay up.
+async def test_new_certificates_are_used_without_a_restart(nursery, files):
+    # Certificates are valid for days, and their files are replaced while
+    # routers run. New connections must use them; open ones must stay open.
     first = await make(nursery, 'r1', files.issue('r1'))
     second = await make(nursery, 'r2', files.issue('r2'))
-    introduce(first, second)
+    connect_to(first, second)
     await first.request('r2', messages.Ping(), 10)
 
     files.ca = trustme.CA()
@@ -131,7 +131,7 @@
     files.issue('r1')
     files.issue('r2')
     third = await make(nursery, 'r3', files.issue('r3'))
-    introduce(third, second)
+    connect_to(third, second)
 
     assert await third.request('r2', messages.Ping(), 10)
     assert await first.request('r2', messages.Ping(), 10)
@@ -139,12 +139,11 @@
 
 
 async def test_half_replaced_files_keep_the_old_certificates(nursery, files):
-    # the certificate has been replaced and its key not yet, when a peer
-    # connects. The pair does not fit; the old one must serve on until it
-    # does, and then the new one.
+    # A peer connects when the certificate has been replaced and its key has
+    # not. The pair does not match; the old one must be used until it does.
     first = await make(nursery, 'r1', files.issue('r1'))
     second = await make(nursery, 'r2', files.issue('r2'))
-    introduce(first, second)
+    connect_to(first, second)
     issued = files.ca.issue_cert('r2')
     issued.cert_chain_pems[0].write_to_path(f'{files.directory}/r2.pem')
 
@@ -153,7 +152,7 @@
 
     issued.private_key_pem.write_to_path(f'{files.directory}/r2.key')
     third = await make(nursery, 'r3', files.issue('r3'))
-    introduce(third, second)
+    connect_to(third, second)
     assert await third.request('r2', messages.Ping(), 10)
     assert second.tls.generation == 2
 
@@ -176,8 +175,8 @@
 @pytest.mark.parametrize('host', ['0.0.0.0', '10.1.2.3', '::', 'router.lan'])
 @pytest.mark.parametrize('kind', list(links.LINKS))
 async def test_peers_beyond_loopback_need_tls(kind, host):
-    # a router is set up without certificates on a VM's address: whoever
-    # reaches the port could take permits and change what routers believe.
+    # A router without certificates listens on the address of a VM: anyone who
+    # reaches the port could take permits and change the state of routers.
     with pytest.raises(errors.PeerTlsRequired, match='mutual TLS'):
         links.LINKS.get(kind)('r1', host, 0)
 
@@ -185,7 +184,7 @@
 
 
 @pytest.mark.parametrize('host', ['127.0.0.1', '127.8.0.1', '::1'])
-async def test_loopback_needs_none(host):
+async def test_loopback_does_not_need_tls(host):
     assert peer_frames.FramesLink('r1', host, 0).tls is None
 
 
@@ -206,8 +205,8 @@
 
 
 async def test_idle_handshakes_are_bounded(nursery, files):
-    # somebody opens connections to the peer port and says nothing on them.
-    # Each would hold memory until its handshake times out.
+    # Connections to the peer port that send nothing occupy memory until their
+    # handshakes time out; their number must be limited.
     limits = peer_limits.LinkLimits(handshakes=3, dial_timeout=60.0)
     link = peer_frames.FramesLink(
         'r1', '127.0.0.1', 0, files.issue('r1'), limits
