--- a/lavenderbend/transport/upstream_exchanges.py
+++ b/lavenderbend/transport/upstream_exchanges.py
@@ -178,7 +178,7 @@
     async def try_read_head(
         self,
     ) -> tuple[interfaces.AnswerHead | None, errors.UpstreamError | None]:
-        """Returns the head or the error; a nursery would wrap a raised error."""
+        """Returns the head or the error; a nursery would wrap the latter."""
         try:
             return await self.read_head(), None
         except errors.UpstreamError as exc:
@@ -193,7 +193,7 @@
             self.sent = True
 
     def request_bytes(self) -> bytes:
-        """Returns the bytes of the request; the protocol then awaits an answer."""
+        """Returns the bytes of the request and prepares for its answer."""
         request = self.request
         protocol = self.protocol
         data = protocol.send(
--- a/tests/integration/stream_callers.py
+++ b/tests/integration/stream_callers.py
@@ -60,7 +60,7 @@
         last = last_event(body, after)
         return f'no HTTP behind event {last}'
     if ended == COMPLETE and body != due:
-        last, most = last_event(body, after), stream_standins.length_of(path)
+        last, most = last_event(body, after), stream_standins.event_count(path)
         rest = len(body.rpartition(b'\n\n')[2])
         return f'complete with event {last} of {most} and {rest} bytes more'
     return ''
@@ -69,7 +69,7 @@
 def differing(path: str, after: int, body: bytes) -> str:
     """Returns where the events of an answer depart from those due."""
     number = after
-    for number in range(after + 1, stream_standins.length_of(path) + 2):
+    for number in range(after + 1, stream_standins.event_count(path) + 2):
         event = stream_standins.event(path, number)
         if not body.startswith(event):
             break
--- a/tests/stream_standins.py
+++ b/tests/stream_standins.py
@@ -35,8 +35,8 @@
     return int(target.rpartition('/')[2])
 
 
-def length_of(target) -> int:
-    """Returns how many events the stream of a target has."""
+def event_count(target) -> int:
+    """Returns the number of events in the stream of a target."""
     return MIN_EVENTS + EVENTS_STEP * (number_of(target) % LENGTHS)
 
 
@@ -48,7 +48,7 @@
 
 def body_of(target, after=0) -> bytes:
     """Returns all events after the given one."""
-    numbers = range(after + 1, length_of(target) + 1)
+    numbers = range(after + 1, event_count(target) + 1)
     return b''.join(event(target, number) for number in numbers)
 
 
@@ -128,7 +128,7 @@
         answer = Stream(self, request, stream, protocol, framed)
         await answer.begin()
         after = int(request.headers.get('last-event-id', 0))
-        return answer, range(after + 1, length_of(request.target) + 1)
+        return answer, range(after + 1, event_count(request.target) + 1)
 
     async def events_from(self, request, stream, protocol, until):
         """Sends all events; the target determines their number."""
--- a/tests/test_transport/test_answer_path_fuzz.py
+++ b/tests/test_transport/test_answer_path_fuzz.py
@@ -102,7 +102,7 @@
             'split': (fine[:cut], fine[cut:], True),
             'stall': (fine[:cut], 0.15, fine[cut:], True),
             'edge': (fine[:cut], 0.05, fine[cut:], True),
-            'events': (chunked, *self.slowly(body), b'0\r\n\r\n', True),
+            'events': (chunked, *self.slow_chunks(body), b'0\r\n\r\n', True),
             'sized': (head(name, more=length) + body, True),
             'unframed': (head(name) + body, False),
             'twice': (fine + fine, True),
@@ -156,7 +156,7 @@
                 await stream.send_all(step)
         return stays_open
 
-    def slowly(self, body):
+    def slow_chunks(self, body):
         for part in body.split(b'\n\n')[:-1]:
             yield chunk(part + b'\n\n')
             yield self.rng.choice([0.0, 0.01, 0.05])
@@ -185,7 +185,9 @@
     async def send_request(self, stream, name):
         """Sends a request; returns whether the connection can be reused."""
         # no bytes that belong to no request may have been received
-        assert not stream.socket.is_readable() or not await self.rest(stream)
+        assert not stream.socket.is_readable() or not await self.read_pending(
+            stream
+        )
         protocol = h11.Connection(h11.CLIENT)
         request = h11.Request(
             method='POST',
@@ -239,7 +241,7 @@
             # an error of the upstream, or problem details of the router
             assert body == b'oops' or b'"outcome"' in body, (status, body)
 
-    async def rest(self, stream):
+    async def read_pending(self, stream):
         try:
             return await stream.receive_some(65536)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
--- a/tests/test_transport/test_serving.py
+++ b/tests/test_transport/test_serving.py
@@ -317,7 +317,7 @@
     )
     port = await nursery.start(serve)
     disconnected = await trio.open_tcp_stream('127.0.0.1', port)
-    await disconnected.send_all(REQUEST.replace(b'GET /', b'GET /disconnected'))
+    await disconnected.send_all(REQUEST.replace(b'GET /', b'GET /gone'))
     with contextlib.suppress(trio.BrokenResourceError):
         while await disconnected.receive_some():
             pass
