--- a/lavenderbend/transport/key_value_etcd.py
+++ b/lavenderbend/transport/key_value_etcd.py
@@ -1,4 +1,4 @@
-"""The key-value service by the etcd v3 HTTP/JSON gateway."""
+"""Client of the key-value service, by etcd's v3 HTTP/JSON gateway."""
 
 from __future__ import annotations
 
@@ -28,32 +28,33 @@
 MAX_CONNECTIONS = 32
 HTTP_OK = 200
 KEEPALIVE_SECONDS = 20.0
-# a watch of an idle key says nothing; a dead connection is found by reading
-# once in a while all the same
+# a watch receives nothing while its keys do not change; the read timeout
+# detects a broken connection
 WATCH_IDLE_SECONDS = 600.0
 
 CALLS = metrics.counter(
     'lavenderbend_key_value_calls_total',
     'Calls to the key-value service by kind and result.',
 )
-# errors before a byte of the call has left
-NOT_SENT = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
+# errors raised before any byte of the call was sent
+NOT_SENT_ERRORS = (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout)
 
 
-def plain_context() -> ssl.SSLContext:
-    """Returns a TLS context made once; httpx builds one for each client."""
+def default_tls_context() -> ssl.SSLContext:
+    """Returns one TLS context; by default httpx builds one per client."""
     return ssl.create_default_context()
 
 
 @key_values.KEY_VALUE_STORES.register('etcd')
 class EtcdStore(interfaces.KeyValueStore):
-    """Speaks to the endpoints in turn, staying with one that answers.
+    """Calls one endpoint, and the next one after a failure.
 
     Attributes:
         endpoints: Base URLs, such as `http://10.0.0.1:2379`.
         timeout: Seconds that one call may take.
-        rng: Source of the jitter.
-        calls: Calls by kind.
+        rng: Random numbers for the jitter of retries.
+        endpoint_index: Index of the endpoint in use.
+        calls: Number of calls by kind.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         self.endpoints = tuple(url.rstrip('/') for url in endpoints)
         self.timeout = timeout
         self.rng = rng
-        self.chosen = 0
+        self.endpoint_index = 0
         self.calls: collections.Counter[str] = collections.Counter()
         limits = httpx.Limits(
             max_connections=MAX_CONNECTIONS,
@@ -71,7 +72,7 @@
         )
         verify: Any = False
         if any(url.startswith('https:') for url in self.endpoints):
-            verify = plain_context()
+            verify = default_tls_context()
         self.client = httpx.AsyncClient(
             timeout=timeout, limits=limits, verify=verify, trust_env=False
         )
@@ -83,11 +84,11 @@
     async def read(
         self, key: str, end: str | None = None, limit: int = 0
     ) -> interfaces.Range:
-        """Reads with a few retries; reading twice does no harm."""
+        """Reads a key or range; retries after a failure."""
         body = etcd.key_range(key, end)
         if limit:
             body['limit'] = str(limit)
-        answer = await self.call_again('range', etcd.RANGE, body)
+        answer = await self.call_with_retries('range', etcd.RANGE, body)
         items = tuple(map(etcd.item_from_wire, answer.get('kvs', ())))
         return interfaces.Range(etcd.revision_of(answer), items)
 
@@ -99,7 +100,7 @@
         present: str | None = None,
         absent: str | None = None,
     ) -> bool:
-        """Writes the key if it is absent and the guards hold."""
+        """Writes the key if it and `absent` are absent and `present` exists."""
         compares = [etcd.Compare(key, 'CREATE', 'EQUAL', 0)]
         if present is not None:
             compares.append(etcd.Compare(present, 'CREATE', 'GREATER', 0))
@@ -112,7 +113,7 @@
     async def replace(
         self, key: str, value: bytes, mod_revision: int, lease: int = 0
     ) -> bool:
-        """Writes the key if it is still at that revision."""
+        """Writes the key if its modification revision has not changed."""
         compare = etcd.Compare(key, 'MOD', 'EQUAL', mod_revision)
         body = etcd.put_txn((compare,), key, value, lease)
         answer = await self.call('replace', etcd.TXN, body)
@@ -121,7 +122,7 @@
     async def delete(
         self, key: str, end: str | None = None, mod_revision: int | None = None
     ) -> int:
-        """Deletes a key or a range; returns how many keys."""
+        """Deletes a key or a range; returns the number of deleted keys."""
         if mod_revision is None:
             body = etcd.key_range(key, end)
             answer = await self.call('delete', etcd.DELETE_RANGE, body)
@@ -135,36 +136,40 @@
         return etcd.number(deleted)
 
     async def grant_lease(self, seconds: float) -> int:
-        """Returns a new lease of whole seconds, rounded up."""
+        """Returns a new lease; its time is rounded up to whole seconds."""
         body = {'TTL': str(math.ceil(seconds))}
         answer = await self.call('grant', etcd.LEASE_GRANT, body)
         return etcd.number(answer.get('ID'))
 
     async def renew_lease(self, lease: int) -> float:
-        """Renews the lease; 0 if it is gone."""
+        """Renews the lease; returns its seconds, 0 if it no longer exists."""
         body = {'ID': str(lease)}
         answer = await self.call('keepalive', etcd.LEASE_KEEPALIVE, body)
         return float(etcd.number(answer.get('result', {}).get('TTL')))
 
     async def revoke_lease(self, lease: int) -> None:
-        """Ends the lease; one that is gone already is no error."""
+        """Revokes the lease; an expired one is not an error."""
         await self.call('revoke', etcd.LEASE_REVOKE, {'ID': str(lease)})
 
     async def watch(
         self, key: str, end: str | None, start_revision: int
     ) -> AsyncIterator[tuple[interfaces.Change, ...]]:
-        """Yields changes until the stream ends."""
+        """Yields the changes from a revision on, until the stream ends.
+
+        Raises:
+            KeyValueUnavailable: The watch was refused or has ended.
+        """
         create = etcd.key_range(key, end)
         create['start_revision'] = str(start_revision)
         count(self.calls, 'watch', 'sent')
         try:
             async with self.watch_stream({'create_request': create}) as lines:
                 async for line in lines:
-                    changes = etcd_answers.watch_changes(line)
+                    changes = etcd_answers.parse_watch_line(line)
                     if changes:
                         yield changes
         except (httpx.HTTPError, httpx.StreamError) as exc:
-            self.choose_next()
+            self.select_next_endpoint()
             raise errors.KeyValueUnavailable(f'watch: {exc!r}') from exc
         raise errors.KeyValueUnavailable('watch: the stream ended')
 
@@ -172,9 +177,9 @@
     async def watch_stream(
         self, body: dict[str, Any]
     ) -> AsyncIterator[AsyncIterator[str]]:
-        """Opens a watch and gives the lines of its answer."""
+        """Opens a watch and provides the lines of its answer."""
         limits = httpx.Timeout(self.timeout, read=WATCH_IDLE_SECONDS)
-        url = self.endpoints[self.chosen] + etcd.WATCH
+        url = self.endpoints[self.endpoint_index] + etcd.WATCH
         async with self.client.stream(
             'POST', url, json=body, timeout=limits
         ) as response:
@@ -183,54 +188,58 @@
                 raise errors.KeyValueUnavailable(f'watch refused: {text}')
             yield response.aiter_lines()
 
-    async def call_again(
+    async def call_with_retries(
         self, kind: str, path: str, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Makes a call that only reads, again after a failure."""
+        """Makes a read-only call; retries after a failure.
+
+        Raises:
+            KeyValueUnavailable: All `READ_ATTEMPTS` attempts failed.
+        """
         for attempt in range(READ_ATTEMPTS):
             try:
                 return await self.call(kind, path, body)
             except errors.KeyValueError as exc:
                 if attempt == READ_ATTEMPTS - 1:
                     raise errors.KeyValueUnavailable(str(exc)) from exc
-            high = BACKOFF_SECONDS * 2**attempt
-            await trio.sleep(self.rng.uniform(high / 2, high))
+            max_delay = BACKOFF_SECONDS * 2**attempt
+            await trio.sleep(self.rng.uniform(max_delay / 2, max_delay))
         raise errors.KeyValueUnavailable('no attempt was made')
 
     async def call(
         self, kind: str, path: str, body: dict[str, Any]
     ) -> dict[str, Any]:
-        """Makes one call to the chosen endpoint.
+        """Makes one call to the endpoint in use.
 
         Raises:
             KeyValueUnavailable: The call did not take effect.
-            KeyValueUncertain: It may have.
+            KeyValueUncertain: The call may have taken effect.
         """
-        url = self.endpoints[self.chosen] + path
+        url = self.endpoints[self.endpoint_index] + path
         try:
             with trio.fail_after(self.timeout):
                 response = await self.client.post(url, json=body)
-        except NOT_SENT as exc:
-            self.choose_next()
+        except NOT_SENT_ERRORS as exc:
+            self.select_next_endpoint()
             count(self.calls, kind, 'unreachable')
             raise errors.KeyValueUnavailable(f'{kind}: {exc!r}') from exc
         except (httpx.HTTPError, trio.TooSlowError) as exc:
-            # the service may have carried out what it was asked
-            self.choose_next()
+            # the service may have carried out the call
+            self.select_next_endpoint()
             count(self.calls, kind, 'lost')
             raise errors.KeyValueUncertain(f'{kind}: {exc!r}') from exc
         if response.status_code != HTTP_OK:
             count(self.calls, kind, 'refused')
-            raise etcd_answers.refusal(kind, response)
+            raise etcd_answers.error_from_answer(kind, response)
         count(self.calls, kind, 'ok')
         return etcd_answers.json_body(kind, response.content)
 
-    def choose_next(self) -> None:
-        """Turns to the next endpoint after a failure."""
-        self.chosen = (self.chosen + 1) % len(self.endpoints)
+    def select_next_endpoint(self) -> None:
+        """Selects the next endpoint, after a failure."""
+        self.endpoint_index = (self.endpoint_index + 1) % len(self.endpoints)
 
 
 def count(calls: collections.Counter[str], kind: str, result: str) -> None:
-    """Counts a call."""
+    """Counts a call by kind and result."""
     calls[kind] += 1
     CALLS.inc({'kind': kind, 'result': result})
--- a/lavenderbend/transport/key_values.py
+++ b/lavenderbend/transport/key_values.py
@@ -9,7 +9,8 @@
 if TYPE_CHECKING:
     from lavenderbend.coordination import interfaces
 
-# each entry is called with endpoints, timeout in seconds and a random source
+# each entry is called with the endpoints, the timeout in seconds and a
+# random number generator
 KEY_VALUE_STORES: registry.Registry[type[interfaces.KeyValueStore]] = (
     registry.Registry('key-value adapter')
 )
--- a/lavenderbend/transport/orders_http.py
+++ b/lavenderbend/transport/orders_http.py
@@ -22,19 +22,20 @@
 PATH = '/v1/orders'
 HTTP_OK = 200
 HTTP_CONFLICT = 409
-# the engine is busy or over the weight store's rate: nothing was started
-LATER_STATUSES = (429, 503)
+# the engine is busy, or loading would exceed the rate of the weight store;
+# the order was not started
+RETRYABLE_STATUSES = (429, 503)
 
 
 class HttpOrderer(orders_module.Orderer):
     """Sends each order on a connection of its own.
 
-    The head of the request goes first, then the lease is checked, then the
-    body follows: a holder that is paused after the check finds the request
-    dropped by the engine's own time limit, if the pause was long.
+    The head of the request is sent first, then the lease is checked, then
+    the body is sent. If the router is paused for long after the check, the
+    engine has dropped the request by its own timeout.
 
     Attributes:
-        client: Connections for reading engines back.
+        client: HTTP client for orders and for reading engine states.
     """
 
     def __init__(self) -> None:
@@ -54,7 +55,7 @@
         """Sends an order; see the base class."""
         body = order_body(order)
 
-        async def checked() -> AsyncIterator[bytes]:
+        async def body_after_check() -> AsyncIterator[bytes]:
             check()
             yield body
 
@@ -64,11 +65,11 @@
             'connection': 'close',
         }
         response = await self.exchange(
-            'POST', vm, timeout, content=checked(), headers=headers
+            'POST', vm, timeout, content=body_after_check(), headers=headers
         )
         if response.status_code == HTTP_CONFLICT:
-            raise errors.OrderRefused(highest(response))
-        if response.status_code in LATER_STATUSES:
+            raise errors.OrderRefused(highest_fencing_token(response))
+        if response.status_code in RETRYABLE_STATUSES:
             raise errors.UpstreamRefused(f'{vm.id}: {response.status_code}')
         if response.status_code != HTTP_OK:
             raise errors.OrderError(
@@ -78,7 +79,7 @@
     async def read(
         self, vm: upstreams.Vm, timeout: float
     ) -> orders.EngineState:
-        """Reads an engine back."""
+        """Reads the state of an engine; see the base class."""
         response = await self.exchange('GET', vm, timeout)
         if response.status_code != HTTP_OK:
             raise errors.UpstreamBroke(f'{vm.id}: {response.status_code}')
@@ -90,8 +91,8 @@
         """Makes one request.
 
         Raises:
-            UpstreamUnreachable: No connection.
-            UpstreamBroke: No answer.
+            UpstreamUnreachable: The connection could not be opened.
+            UpstreamBroke: There was no complete answer in time.
         """
         url = f'http://{vm.host}:{vm.port}{PATH}'
         try:
@@ -118,8 +119,8 @@
     return json.dumps(value).encode()
 
 
-def highest(response: httpx.Response) -> int:
-    """Returns the fencing number that an engine has seen."""
+def highest_fencing_token(response: httpx.Response) -> int:
+    """Returns the highest fencing token that an engine has seen."""
     try:
         return int(response.json().get('fencing', 0))
     except (ValueError, AttributeError, TypeError):
@@ -130,7 +131,7 @@
     """Returns the state in an engine's answer.
 
     Raises:
-        UpstreamBroke: There is none.
+        UpstreamBroke: The answer contains no valid state.
     """
     try:
         value = response.json()
@@ -138,7 +139,7 @@
         target = orders.Target(
             str(value['model']),
             str(value['version']),
-            tuple(str(item) for item in value.get('adapters', ())),
+            tuple(str(adapter) for adapter in value.get('adapters', ())),
             str(value.get('role', 'serve')),
         )
         return orders.EngineState(
--- a/lavenderbend/transport/peer_connections.py
+++ b/lavenderbend/transport/peer_connections.py
@@ -1,4 +1,4 @@
-"""One connection to a peer: its reader, its writer and its end."""
+"""One connection to a peer: handshake, reader, writer and close."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 if TYPE_CHECKING:
     from lavenderbend.transport import links
 
-GOODBYE_TIMEOUT = 5.0  # seconds
+GOODBYE_TIMEOUT_SECONDS = 5.0
 
 
 class Connection:
-    """A wire in use by a link.
+    """A connection of a link to one peer.
 
     Attributes:
         link: The link.
-        wire: The wire.
+        wire: Carries the batches.
         dialed: Whether this router opened it.
-        peer_id: Who is at the other end, known after `greet`.
-        instance: Its process.
-        in_progress: Requests of the peer that are being handled.
-        misses: Requests in a row that timed out without a sign of it.
+        peer_id: Router id of the peer, set by `exchange_hellos`.
+        instance: Identifies the process of the peer.
+        in_progress: Number of requests of the peer that are being handled.
+        consecutive_timeouts: Number of successive requests that timed out while
+            nothing was received from the peer.
     """
 
     def __init__(
@@ -42,97 +43,104 @@
         self.peer_id = ''
         self.instance = 0
         self.in_progress = 0
-        self.misses = 0
-        self.began = trio.current_time()
-        self.last_received = self.began
+        self.consecutive_timeouts = 0
+        self.opened_at = trio.current_time()
+        self.last_received = self.opened_at
         self.last_used = self.last_received
         self.notices: collections.deque[peer.Message] = collections.deque()
         self.retiring = trio.Event()
         self.goodbye: messages.Goodbye | None = None
         self.scope = trio.CancelScope()
 
-    # opening
+    # handshake
 
-    async def greet(self, expected: str | None) -> None:
-        """Exchanges hellos; the side that dialed speaks first.
+    async def exchange_hellos(self, expected: str | None) -> None:
+        """Exchanges hello messages; the side that dialed sends first.
 
         Args:
             expected: Id of the peer that was dialed.
 
         Raises:
-            PeerProtocolError: The peer is not who it should be.
-            CodecError: It speaks something else.
-            OSError: The connection broke.
+            PeerProtocolError: The peer has another id or certificate, or
+                speaks an unsupported version.
+            CodecError: The peer speaks another protocol.
+            OSError: The connection was lost.
         """
         if self.dialed:
-            await self.send_now(self.link.hello())
+            await self.send_unqueued(self.link.hello())
         hello = await self.read_hello()
         self.check(hello, expected)
         self.peer_id = hello.router
         self.instance = hello.instance
         if not self.dialed:
-            # attached before our hello leaves, so that a peer that sees it
-            # may retire another connection: this one is in use already
+            # attached before our hello is sent: a peer that receives it may
+            # then retire another connection, as this one is in use already
             self.attach()
-            await self.send_now(self.link.hello())
+            await self.send_unqueued(self.link.hello())
         else:
             self.attach()
 
-    async def send_now(self, item: peer.Message) -> None:
-        """Sends a message outside the queue."""
-        await self.wire.send(msgpack.packb([0, peer.to_wire(item)]))
+    async def send_unqueued(self, message: peer.Message) -> None:
+        """Sends a message at once, without the outbox."""
+        await self.wire.send(msgpack.packb([0, peer.to_wire(message)]))
         self.link.messages_sent += 1
 
     async def read_hello(self) -> messages.Hello:
-        """Reads the peer's hello."""
+        """Returns the hello message of the peer.
+
+        Raises:
+            PeerProtocolError: The peer closed or sent another message first.
+        """
         batch = await self.wire.receive()
         if batch is None:
-            raise errors.PeerProtocolError('closed before its hello')
-        for _, item in peer_wires.unpack(batch):
-            message = peer.from_wire(item)
+            raise errors.PeerProtocolError('closed before sending its hello')
+        for _, values in peer_wires.unpack(batch):
+            message = peer.from_wire(values)
             if isinstance(message, messages.Hello):
                 return message
             break
-        raise errors.PeerProtocolError('the first message is no hello')
+        raise errors.PeerProtocolError('the first message is not a hello')
 
     def check(self, hello: messages.Hello, expected: str | None) -> None:
-        """Checks that the peer is who it should be.
+        """Checks id, protocol version and certificate of the peer.
 
         Raises:
-            PeerProtocolError: It is not, or speaks another version.
+            PeerProtocolError: One of them is wrong.
         """
         if expected is not None and hello.router != expected:
             raise errors.PeerProtocolError(
-                f'{expected} was dialed and {hello.router} answers'
+                f'{expected} was dialed but {hello.router} answers'
             )
         if hello.router == self.link.name:
-            raise errors.PeerProtocolError('a peer has the id of this router')
+            raise errors.PeerProtocolError('the peer has the id of this router')
         if hello.version < messages.MIN_PROTOCOL_VERSION:
             raise errors.PeerProtocolError(
-                f'{hello.router} speaks version {hello.version}'
+                f'{hello.router} speaks unsupported version {hello.version}'
             )
         names = self.wire.names
         if names is not None and hello.router not in names:
             raise errors.PeerProtocolError(
-                f'{hello.router} has a certificate of {sorted(names)}'
+                f'{hello.router} has a certificate for {sorted(names)}'
             )
 
     def attach(self) -> None:
-        """Takes this connection into use, unless a better one is there.
-
-        Two routers may dial each other at once. The connection dialed by
-        the smaller id is kept; both sides decide alike, and the other is
-        closed by goodbyes so that nothing in flight on it is lost. So is
-        the older of two of the same direction: its dialer is closing it,
-        or has found it dead. One of another process is dead for certain.
+        """Makes this the connection in use, unless another takes precedence.
+
+        Two routers may dial each other at the same time. Both sides keep
+        the connection that the router with the smaller id dialed, and close
+        the other one by goodbyes, so that no message in flight on it is
+        lost. Of two connections dialed by the same side, the older one is
+        closed in this way too: its dialer is closing it or has found it
+        broken. A connection to an earlier process of the peer is certainly
+        broken and is aborted.
         """
         link = self.link
-        link.live.add(self)
+        link.open_connections.add(self)
         link.add_connections(1)
-        box = link.box(self.peer_id)
-        old = box.connection
-        box.connection = self
-        box.set_instance(self.instance)
+        outbox = link.outbox(self.peer_id)
+        old = outbox.connection
+        outbox.connection = self
+        outbox.set_instance(self.instance)
         if old is None:
             return
         if old.instance != self.instance:
@@ -142,18 +150,18 @@
         if old.dialed == self.dialed or self.dialed == smaller_is_us:
             old.retire()
             return
-        box.connection = old
+        outbox.connection = old
         self.retire()
 
     # serving
 
     async def serve(self) -> None:
-        """Reads and writes until the connection ends."""
-        box = self.link.box(self.peer_id)
+        """Reads and writes until the connection is closed."""
+        outbox = self.link.outbox(self.peer_id)
         try:
             with self.scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self.write, box)
+                    nursery.start_soon(self.write, outbox)
                     await self.read()
                     self.retire()
                 if self.goodbye is not None:
@@ -163,7 +171,7 @@
                 await self.discard()
 
     async def read(self) -> None:
-        """Takes batches until the peer's goodbye or the end."""
+        """Handles batches until the peer's goodbye or the end of the wire."""
         try:
             while True:
                 batch = await self.wire.receive()
@@ -172,13 +180,13 @@
                     return
                 self.last_received = trio.current_time()
                 self.last_used = self.last_received
-                self.misses = 0
-                if not await self.take_batch(batch):
+                self.consecutive_timeouts = 0
+                if not await self.handle_batch(batch):
                     return
         except OSError:
             self.scope.cancel()
         except errors.CodecError as exc:
-            # garbage: nothing after it can be trusted to be aligned
+            # the start of the next message is not known after invalid bytes
             self.link.count_dropped('garbage')
             logs.change(
                 'peer_garbage',
@@ -188,102 +196,108 @@
             )
             self.scope.cancel()
 
-    async def take_batch(self, batch: bytes) -> bool:
-        """Hands on a batch; returns False after a goodbye."""
-        for number, item in peer_wires.unpack(batch):
-            self.link.incoming.dispatch(self, number, item)
+    async def handle_batch(self, batch: bytes) -> bool:
+        """Dispatches the messages of a batch; returns False after a goodbye."""
+        for number, values in peer_wires.unpack(batch):
+            self.link.dispatcher.dispatch(self, number, values)
         while self.notices:
             notice = self.notices.popleft()
             if isinstance(notice, messages.Goodbye):
                 self.goodbye = notice
                 return False
-            await self.link.incoming.handle_notice(self.peer_id, notice)
+            await self.link.dispatcher.handle_notice(self.peer_id, notice)
         return True
 
-    async def write(self, box: peer_wires.Outbox) -> None:
-        """Sends what gathers; what gathers meanwhile is the next batch."""
+    async def write(self, outbox: peer_wires.Outbox) -> None:
+        """Sends the queued messages in batches, then a goodbye.
+
+        Messages queued while a batch is being sent form the next batch.
+        """
         link = self.link
         try:
             while not self.retiring.is_set():
-                if not box.items or box.connection is not self:
-                    await self.wait_work(box)
+                if not outbox.messages or outbox.connection is not self:
+                    await self.wait_for_messages(outbox)
                     continue
-                items = box.take(link.limits.batch_bytes)
-                link.messages_sent += len(items)
+                batch = outbox.pop_batch(link.limits.batch_bytes)
+                link.messages_sent += len(batch)
                 self.last_used = trio.current_time()
-                await self.wire.send(b''.join(items))
-            if box.connection is self and not link.stopping:
-                box.connection = None
-                link.openings.redial(box)
-            await self.send_now(messages.Goodbye(link.stopping))
-            # a peer that never says goodbye in its turn is cut off
-            self.scope.deadline = trio.current_time() + GOODBYE_TIMEOUT
+                await self.wire.send(b''.join(batch))
+            if outbox.connection is self and not link.stopping:
+                outbox.connection = None
+                link.opener.redial(outbox)
+            await self.send_unqueued(messages.Goodbye(link.stopping))
+            # closes the connection if the peer does not reply with a goodbye
+            self.scope.deadline = trio.current_time() + GOODBYE_TIMEOUT_SECONDS
         except OSError:
             self.scope.cancel()
 
-    async def wait_work(self, box: peer_wires.Outbox) -> None:
-        """Waits for messages, or for the end of this connection's use."""
-        if box.connection is not self:
+    async def wait_for_messages(self, outbox: peer_wires.Outbox) -> None:
+        """Waits until there are messages to send or this is retired."""
+        if outbox.connection is not self:
             await self.retiring.wait()
             return
-        await box.filled.wait()
+        await outbox.not_empty.wait()
 
-    def note_miss(self, began: float) -> None:
-        """Counts a request without an answer; a silent connection ends.
+    def note_timeout(self, queued_at: float) -> None:
+        """Counts a request that timed out; aborts a silent connection.
 
-        A half-open connection (the peer's VM is gone, or a firewall drops
-        its packets) shows as requests that time out while nothing arrives.
-        Without this the kernel would keep it for many minutes and every
-        request to a replaced peer would wait out its timeout. The guard
-        holds because anything received since the request began resets it,
-        so a slow handler on a working connection is never cut off.
+        On a half-open connection (the peer's VM is gone, or a firewall drops
+        its packets) requests time out while nothing is received. The kernel
+        would keep such a connection for many minutes, and every request to
+        a replaced peer would wait for its whole timeout. Anything received
+        since the request was queued resets the count, so a slow handler on
+        a working connection never causes an abort.
 
         Args:
-            began: Router clock at which the request was queued.
+            queued_at: Router clock when the request was queued.
         """
-        if self.last_received >= began:
-            self.misses = 0
+        if self.last_received >= queued_at:
+            self.consecutive_timeouts = 0
             return
-        self.misses += 1
+        self.consecutive_timeouts += 1
         limits = self.link.limits
         silence = trio.current_time() - self.last_received
-        if self.misses < limits.misses or silence < limits.silence:
+        if (
+            self.consecutive_timeouts < limits.max_timeouts
+            or silence < limits.silence_seconds
+        ):
             return
         self.link.count_dropped('silent')
         logs.change('peer_silent', router=self.link.name, peer=self.peer_id)
         self.abort()
 
     def retire(self) -> None:
-        """Ends the connection after what is being sent, by goodbyes."""
+        """Closes the connection by goodbyes, after the batch being sent."""
         self.retiring.set()
-        # wakes the writer, which sleeps until there is something to send
-        box = self.link.box(self.peer_id)
-        box.filled.set()
-        if not box.items:
-            box.filled = trio.Event()
+        # wakes the writer, which waits for messages to send
+        outbox = self.link.outbox(self.peer_id)
+        outbox.not_empty.set()
+        if not outbox.messages:
+            outbox.not_empty = trio.Event()
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once, without a goodbye."""
         self.scope.cancel()
 
     async def discard(self) -> None:
-        """Closes the wire and fails what waited on it."""
+        """Closes the wire; fails requests unless another connection follows."""
         link = self.link
         await self.wire.close()
-        if self not in link.live:
+        if self not in link.open_connections:
             return
-        link.live.remove(self)
+        link.open_connections.remove(self)
         link.add_connections(-1)
         link.closed_bytes_sent += self.wire.bytes_sent
         link.closed_bytes_received += self.wire.bytes_received
-        box = link.box(self.peer_id)
-        if box.connection is self:
-            box.connection = None
-        if box.connection is not None or box.dialing:
+        outbox = link.outbox(self.peer_id)
+        if outbox.connection is self:
+            outbox.connection = None
+        if outbox.connection is not None or outbox.dialing:
             return
         if self.goodbye is not None and not self.goodbye.final:
-            # closed in agreement: what is in flight goes on by the next
-            link.openings.redial(box)
+            # closed by goodbyes: the queued messages use the next connection
+            link.opener.redial(outbox)
             return
-        box.clear()
-        link.calls.fail('the connection was lost', self.peer_id)
+        outbox.clear()
+        link.pending_requests.fail('the connection was lost', self.peer_id)
--- a/lavenderbend/transport/peer_datagrams.py
+++ b/lavenderbend/transport/peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between forwarding routers, and snapshots over TCP."""
+"""UDP messages between forwarding routers, and snapshots over TCP."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 MAX_DATAGRAM_BYTES = 8 * 1024
 RECEIVE_BYTES = 64 * 1024
-FETCH_SECONDS = 0.5
-SERVE_SECONDS = 2.0
+FETCH_TIMEOUT_SECONDS = 0.5
+SERVE_TIMEOUT_SECONDS = 2.0
 MAX_SNAPSHOT_BYTES = 32 * 1024 * 1024
 LENGTH_BYTES = 4
-COMPRESSION_LEVEL = 1
+COMPRESSION_LEVEL = 1  # of zlib
 
 
 class PeerDatagrams(interfaces.DatagramLink):
-    """One UDP socket, and a TCP port of the same number.
+    """A UDP socket for messages, and a TCP port of the same number.
 
     Attributes:
-        host: IP number to bind.
-        port: Port of both; the same on all routers.
-        snapshot: Returns the snapshot in force.
-        removed_since: Returns the keys that are gone since a revision, None
-            if that is not known.
+        host: IP address to bind.
+        port: UDP and TCP port, the same on all routers.
+        snapshot: Returns the snapshot in force, None if there is none.
+        removed_since: Returns the keys removed since a revision, None if
+            they are not known.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         self.port = port
         self.snapshot = snapshot
         self.removed_since = removed_since
-        self.receiver = ignore
+        self.receiver = discard_message
         self.socket = trio.socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Receives until cancelled."""
+        """Receives messages and serves snapshots until cancelled."""
         await self.socket.bind((self.host, self.port))
         listeners = await trio.open_tcp_listeners(self.port, host=self.host)
         async with trio.open_nursery() as nursery:
@@ -66,12 +66,12 @@
             await self.receive_all()
 
     async def receive_all(self) -> None:
-        """Passes on each message that arrives."""
+        """Passes each received message to `receiver`."""
         while True:
             try:
                 data = await self.socket.recv(MAX_DATAGRAM_BYTES)
             except OSError as exc:
-                # an earlier datagram met a port that nobody listens at
+                # reports that an earlier datagram reached a closed port
                 logs.change('peer_port_closed', cause=str(exc))
                 continue
             try:
@@ -89,21 +89,21 @@
             logs.change('peer_unreachable', host=host, cause=str(exc))
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Gives the snapshot in force to a router that connected."""
+        """Sends the snapshot in force to a router that connected."""
         try:
-            with trio.move_on_after(SERVE_SECONDS):
-                wanted = await read_message(stream)
+            with trio.move_on_after(SERVE_TIMEOUT_SECONDS):
+                request = await read_message(stream)
                 current = self.snapshot()
                 if current is not None and isinstance(
-                    wanted, messages_forwarding.SnapshotWanted
+                    request, messages_forwarding.SnapshotWanted
                 ):
-                    since = wanted.known_revision
-                    content = changes_of(
+                    since = request.known_revision
+                    content = changes_since(
                         current.raw, since, self.removed_since(since)
                     )
-                    await stream.send_all(framed(content))
+                    await stream.send_all(encode_frame(content))
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            # the router went away; it asks again or reads the store
+            # the router disconnected; it will retry or read the store
             return
         except errors.CodecError as exc:
             logs.change('peer_message_unreadable', cause=str(exc))
@@ -111,78 +111,88 @@
             stream.socket.close()
 
     async def fetch(
-        self, host: str, known: forwarding.RawSnapshot | None
+        self, host: str, base: forwarding.RawSnapshot | None
     ) -> forwarding.RawSnapshot:
         """Returns the snapshot of another router.
 
+        Args:
+            host: Host of that router.
+            base: The snapshot that changes are requested against, None to
+                request a whole one.
+
         Raises:
-            PeerError: It did not answer in time.
-            CodecError: What it answered is none.
+            PeerError: The router did not answer in time.
+            CodecError: The answer is not a snapshot, or does not fit `base`.
         """
-        revision = 0 if known is None else known.revision
-        wanted = messages_forwarding.SnapshotWanted(revision)
+        revision = 0 if base is None else base.revision
+        request = messages_forwarding.SnapshotWanted(revision)
         try:
-            with trio.fail_after(FETCH_SECONDS):
+            with trio.fail_after(FETCH_TIMEOUT_SECONDS):
                 stream = await trio.open_tcp_stream(host, self.port)
                 async with stream:
-                    await stream.send_all(framed(wanted))
+                    await stream.send_all(encode_frame(request))
                     content = await read_message(stream)
         except (OSError, trio.TooSlowError, trio.BrokenResourceError) as exc:
             raise errors.PeerUnreachable(
                 f'no snapshot: {type(exc).__name__}'
             ) from exc
         if not isinstance(content, messages_forwarding.SnapshotContent):
-            raise errors.CodecError('no snapshot')
-        return merged(known, content)
+            raise errors.CodecError('the answer is not a snapshot')
+        return apply_changes(base, content)
 
 
-def ignore(message: peer.Message) -> None:
-    """Drops messages that come before somebody takes them."""
+def discard_message(message: peer.Message) -> None:
+    """Discards messages that are received before a receiver is set."""
 
 
-def framed(message: peer.Message) -> bytes:
-    """Returns a message, compressed, behind its length."""
+def encode_frame(message: peer.Message) -> bytes:
+    """Returns the compressed message, preceded by its length."""
     data = zlib.compress(peer.encode(message), COMPRESSION_LEVEL)
     return len(data).to_bytes(LENGTH_BYTES, 'big') + data
 
 
 async def read_message(stream: trio.SocketStream) -> peer.Message:
-    """Returns the message that a stream brings.
+    """Reads one message from a stream.
 
     Raises:
-        CodecError: It is none, too large, or cut short.
+        CodecError: The message is invalid, too large or truncated.
     """
     buffer = b''
     size = LENGTH_BYTES
     while len(buffer) < size:
         data = await stream.receive_some(RECEIVE_BYTES)
         if not data:
-            raise errors.CodecError('a message that is cut short')
+            raise errors.CodecError(
+                f'message truncated: got {len(buffer)} of {size} bytes'
+            )
         buffer += data
         if size == LENGTH_BYTES and len(buffer) >= LENGTH_BYTES:
             size += int.from_bytes(buffer[:LENGTH_BYTES], 'big')
         if size > MAX_SNAPSHOT_BYTES:
-            raise errors.CodecError('a message of too many bytes')
+            raise errors.CodecError(f'message too large: {size} bytes')
     inflate = zlib.decompressobj()
     try:
         return peer.decode(
             inflate.decompress(buffer[LENGTH_BYTES:], MAX_SNAPSHOT_BYTES)
         )
     except zlib.error as exc:
-        raise errors.CodecError(f'a message that is broken: {exc}') from exc
+        raise errors.CodecError(
+            f'message cannot be decompressed: {exc}'
+        ) from exc
 
 
-def changes_of(
+def changes_since(
     raw: forwarding.RawSnapshot,
     since: int,
     removed: list[str] | None = None,
 ) -> messages_forwarding.SnapshotContent:
-    """Returns a snapshot without what has not changed since a revision.
+    """Returns the changes of a snapshot since a revision.
 
     Args:
         raw: The snapshot.
-        since: Revision that the receiver knows, 0 for none.
-        removed: Keys that are gone since, None if that is not known.
+        since: Revision that the receiver has, 0 for none.
+        removed: Keys removed since then, None if they are not known; all
+            keys are sent in that case.
     """
     changed: list[list[str | int | bytes]] = [
         [key, item.revision, item.value]
@@ -195,26 +205,28 @@
     )
 
 
-def merged(
-    known: forwarding.RawSnapshot | None,
+def apply_changes(
+    base: forwarding.RawSnapshot | None,
     content: messages_forwarding.SnapshotContent,
 ) -> forwarding.RawSnapshot:
-    """Returns the snapshot that changes make of the one that is known.
+    """Returns the snapshot that results from applying changes to a base.
 
     Raises:
-        CodecError: They do not make the one that was sent: an item is
-            missing, or one should be gone.
+        CodecError: The digest of the result is not that of the sender: an
+            item is missing or was not removed.
     """
-    if known is None:
-        known = forwarding.RawSnapshot(0, {})
+    if base is None:
+        base = forwarding.RawSnapshot(0, {})
     removed = content.removed
     if content.keys is not None:
-        removed = known.items.keys() - set(content.keys)
+        removed = base.items.keys() - set(content.keys)
     changed = {
         key: forwarding.RawItem(revision, value)
         for key, revision, value in content.changed
     }
-    raw = known.with_changes(content.revision, changed, removed)
+    raw = base.with_changes(content.revision, changed, removed)
     if raw.digest != content.digest:
-        raise errors.CodecError('changes that do not fit what is known')
+        raise errors.CodecError(
+            'the changes do not fit the base snapshot: digests differ'
+        )
     return raw
--- a/lavenderbend/transport/peer_frames.py
+++ b/lavenderbend/transport/peer_frames.py
@@ -1,4 +1,4 @@
-"""The peer link of length-prefixed frames on TCP, plain or with TLS."""
+"""The peer link with length-prefixed frames over TCP or TLS."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class CountingStream(trio.abc.Stream):
-    """A socket stream that counts its bytes.
+    """A socket stream that counts the bytes sent and received.
 
     Attributes:
         stream: The socket stream.
@@ -56,7 +56,7 @@
 
 
 class FrameWire(peer_wires.Wire):
-    """Frames on a stream: four bytes of length, then a batch."""
+    """Frames on a stream: a length of four bytes, then a batch."""
 
     def __init__(
         self,
@@ -71,12 +71,12 @@
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes given to the socket."""
+        """Bytes written to the socket."""
         return self.counting.sent
 
     @property
     def bytes_received(self) -> int:
-        """Bytes taken from the socket."""
+        """Bytes read from the socket."""
         return self.counting.received
 
     async def send(self, batch: bytes) -> None:
@@ -85,38 +85,44 @@
         try:
             await self.stream.send_all(frame)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
-            raise ConnectionResetError('the peer is gone') from exc
+            raise ConnectionResetError(
+                'the peer closed the connection'
+            ) from exc
 
     async def receive(self) -> bytes | None:
-        """Returns the next frame's batch, None at the end."""
-        if not await self.fill(HEADER_BYTES):
+        """Returns the batch of the next frame, None at the end."""
+        if not await self.fill_buffer(HEADER_BYTES):
             return None
         size = int.from_bytes(self.buffer[:HEADER_BYTES], 'big')
-        # a peer that speaks something else (an HTTP probe, a scan) shows
-        # as a huge length; refusing it here bounds the memory it can take
+        # the bytes of another protocol (an HTTP probe, a port scan) decode as
+        # a huge length; refusing it here limits the memory used
         if size > MAX_FRAME_BYTES:
-            raise errors.CodecError(f'a frame of {size} bytes')
-        if not await self.fill(HEADER_BYTES + size):
-            raise ConnectionResetError('the peer ended inside a frame')
+            raise errors.CodecError(f'frame too large: {size} bytes')
+        if not await self.fill_buffer(HEADER_BYTES + size):
+            raise ConnectionResetError(
+                'the peer closed the connection within a frame'
+            )
         end = HEADER_BYTES + size
         batch = bytes(self.buffer[HEADER_BYTES:end])
         del self.buffer[:end]
         return batch
 
-    async def fill(self, size: int) -> bool:
+    async def fill_buffer(self, size: int) -> bool:
         """Reads until the buffer holds `size` bytes; False at the end."""
         while len(self.buffer) < size:
             try:
                 data = await self.stream.receive_some(READ_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
-                raise ConnectionResetError('the peer is gone') from exc
+                raise ConnectionResetError(
+                    'the peer closed the connection'
+                ) from exc
             if not data:
                 return False
             self.buffer += data
         return True
 
     async def finish(self) -> None:
-        """Has nothing to wait for: the kernel has all that was sent."""
+        """Returns at once: the kernel has all bytes that were sent."""
 
     async def close(self) -> None:
         """Closes the connection at once."""
@@ -125,7 +131,7 @@
 
 @links.LINKS.register('frames')
 class FramesLink(links.BatchLink):
-    """Frames of msgpack over trio's TCP streams."""
+    """Frames of msgpack messages over trio's TCP streams."""
 
     async def listen(self) -> None:
         """Serves inbound connections."""
@@ -135,47 +141,49 @@
         await trio.serve_listeners(self.accept_stream, listeners)
 
     async def accept_stream(self, stream: trio.SocketStream) -> None:
-        """Serves a peer that has connected to us."""
-        if not self.openings.may_accept():
+        """Serves an inbound connection."""
+        if not self.opener.may_accept():
             await trio.aclose_forcefully(stream)
             return
-        self.openings.accepting += 1
+        self.opener.accepting += 1
         try:
             with trio.fail_after(self.limits.dial_timeout):
                 context = self.tls and self.tls.server_context()
-                wire = await secured(counted(stream), context, server_side=True)
+                wire = await open_wire(
+                    count_bytes(stream), context, server_side=True
+                )
         except (OSError, trio.TooSlowError) as exc:
             self.note_handshake_failure(exc)
             await trio.aclose_forcefully(stream)
             return
         finally:
-            self.openings.accepting -= 1
-        await self.openings.accept(wire)
+            self.opener.accepting -= 1
+        await self.opener.accept(wire)
 
     async def dial(self, peer_id: str, host: str, port: int) -> FrameWire:
         """Returns a wire to a peer."""
         stream = await trio.open_tcp_stream(host, port)
-        counting = counted(stream)
+        counting = count_bytes(stream)
         try:
             context = self.tls and self.tls.client_context()
-            return await secured(counting, context, server_side=False)
+            return await open_wire(counting, context, server_side=False)
         except BaseException:
             await trio.aclose_forcefully(stream)
             raise
 
 
-def counted(stream: trio.SocketStream) -> CountingStream:
-    """Returns the stream with its bytes counted, set for small frames."""
+def count_bytes(stream: trio.SocketStream) -> CountingStream:
+    """Returns a byte-counting stream, with Nagle's algorithm disabled."""
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return CountingStream(stream)
 
 
-async def secured(
+async def open_wire(
     counting: CountingStream,
     context: ssl.SSLContext | None,
     server_side: bool,
 ) -> FrameWire:
-    """Returns a wire, after the TLS handshake if there is a context.
+    """Returns a wire; with a context, after the TLS handshake.
 
     Raises:
         OSError: The handshake failed.
--- a/lavenderbend/transport/peer_grpc.py
+++ b/lavenderbend/transport/peer_grpc.py
@@ -1,4 +1,4 @@
-"""The peer link of gRPC: one bidirectional stream for each pair."""
+"""The peer link over gRPC: one bidirectional stream for each pair."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 METHOD = '/lavenderbend.Peer/Exchange'
 MESSAGE_OVERHEAD = 14  # bytes: a gRPC prefix and an HTTP/2 frame header
-WAITING = 64  # batches that may wait on their way into trio
+MAX_WAITING_BATCHES = 64  # received by gRPC, not yet read by trio
 MAX_THREADS = 1024
 CHANNEL_OPTIONS = (
     ('grpc.max_receive_message_length', peer_frames.MAX_FRAME_BYTES),
@@ -36,10 +36,11 @@
 
 
 class StreamWire(peer_wires.Wire):
-    """One gRPC stream, bridged from its threads to trio.
+    """One gRPC stream, bridged between gRPC's threads and trio.
 
-    gRPC's own event loop is asyncio's, so its threaded API is used: a
-    thread of gRPC takes batches from `outgoing`, another of ours reads.
+    gRPC supports only asyncio as event loop, so its threaded API is used: a
+    thread of gRPC sends the batches from `outgoing`, and a thread of this
+    class reads those that are received.
     """
 
     def __init__(
@@ -50,108 +51,111 @@
         self.bytes_sent = 0
         self.bytes_received = 0
         self.outgoing: queue.SimpleQueue[bytes | None] = queue.SimpleQueue()
-        self.taken = trio.Event()
+        self.accepted = trio.Event()
         self.incoming: list[bytes] = []
-        self.arrived = trio.Event()
+        self.batch_arrived = trio.Event()
         self.ended = False
-        self.room = threading.Semaphore(WAITING)
+        self.free_slots = threading.Semaphore(MAX_WAITING_BATCHES)
         self.call: grpc.Call | grpc.ServicerContext | None = None
         self.channel: grpc.Channel | None = None
 
-    # in trio
+    # called in the trio thread
 
     async def send(self, batch: bytes) -> None:
-        """Sends a batch; returns once gRPC has taken it."""
+        """Sends a batch; returns once gRPC has accepted it."""
         if self.ended:
-            raise ConnectionResetError('the peer is gone')
+            raise ConnectionResetError('the stream has ended')
         self.bytes_sent += len(batch) + MESSAGE_OVERHEAD
-        self.taken = trio.Event()
+        self.accepted = trio.Event()
         self.outgoing.put(batch)
-        await self.taken.wait()
+        await self.accepted.wait()
 
     async def receive(self) -> bytes | None:
         """Returns the next batch, None at the end."""
         while not self.incoming:
             if self.ended:
                 raise ConnectionResetError('the stream has ended')
-            self.arrived = trio.Event()
-            await self.arrived.wait()
+            self.batch_arrived = trio.Event()
+            await self.batch_arrived.wait()
         batch = self.incoming.pop(0)
-        self.room.release()
+        self.free_slots.release()
         return batch
 
     async def finish(self) -> None:
-        """Ends our side of the stream and waits for the peer's end.
+        """Ends the sending side of the stream and waits for the peer's end.
 
-        gRPC takes messages long before it has written them, and a cancel
-        drops those: answers taken just before a close would be lost.
+        gRPC accepts messages long before it has written them, and drops
+        them on a cancel: answers accepted just before a close would be lost.
         """
         self.outgoing.put(None)
         while not self.ended:
-            self.arrived = trio.Event()
-            await self.arrived.wait()
+            self.batch_arrived = trio.Event()
+            await self.batch_arrived.wait()
 
     async def close(self) -> None:
-        """Ends the stream at once."""
+        """Cancels the stream and closes its channel."""
         self.end()
         self.outgoing.put(None)
-        self.room.release()
+        self.free_slots.release()
         if self.call is not None:
             self.call.cancel()
         if self.channel is not None:
-            # waits for gRPC's threads, which must not stop trio's
+            # in a thread: it waits for gRPC's threads and would block trio
             await trio.to_thread.run_sync(self.channel.close)
 
     def deliver(self, batch: bytes) -> None:
-        """Takes a batch from the reading thread."""
+        """Queues a batch for `receive`."""
         self.bytes_received += len(batch) + MESSAGE_OVERHEAD
         self.incoming.append(batch)
-        self.arrived.set()
+        self.batch_arrived.set()
 
     def end(self) -> None:
-        """Notes the end of the stream."""
+        """Marks the stream as ended and wakes the waiting tasks."""
         self.ended = True
-        self.arrived.set()
-        self.taken.set()
+        self.batch_arrived.set()
+        self.accepted.set()
 
-    # in gRPC's threads
+    # called in gRPC's threads
 
-    def soon(self, function, *args) -> None:
-        """Has trio call a function, unless it has ended."""
+    def run_in_trio(self, function, *args) -> None:
+        """Calls a function in the trio thread, unless trio has ended."""
         try:
             self.token.run_sync_soon(function, *args)
         except trio.RunFinishedError:
             pass
 
     def batches(self) -> Iterator[bytes]:
-        """Yields what is to be sent, until None."""
+        """Yields the batches to send, until None is queued."""
         while True:
             batch = self.outgoing.get()
             if batch is None:
                 return
-            self.soon(self.note_taken)
+            self.run_in_trio(self.note_accepted)
             yield batch
 
-    def note_taken(self) -> None:
-        """Lets the writer gather and send the next batch."""
-        self.taken.set()
+    def note_accepted(self) -> None:
+        """Wakes `send`, which waits until the batch is accepted."""
+        self.accepted.set()
 
     def read(self, stream: Iterator[bytes]) -> None:
-        """Hands on all that a stream brings; waits while trio is behind."""
+        """Passes the received batches to trio.
+
+        Blocks while `MAX_WAITING_BATCHES` batches are not yet read.
+        """
         try:
             for batch in stream:
-                self.room.acquire()
-                self.soon(self.deliver, batch)
+                self.free_slots.acquire()
+                self.run_in_trio(self.deliver, batch)
         except grpc.RpcError:
             pass
         except Exception as exc:
             # the server's request iterator raises a bare Exception when
-            # the peer is gone; anything else must not be lost
+            # the peer disconnects; any other error is raised
             if type(exc) is not Exception:
                 raise
         finally:
             self.outgoing.put(None)
-            self.soon(self.end)
+            self.run_in_trio(self.end)
 
 
 async def serve(
@@ -159,7 +163,7 @@
     server: grpc.Server,
     pool: futures.ThreadPoolExecutor,
 ) -> None:
-    """Serves a link at its address until cancelled; sets its `port`."""
+    """Serves a link on its address until cancelled; sets its `port`."""
     address = f'{link.host}:{link.port}'
     if link.tls is None:
         link.port = server.add_insecure_port(address)
@@ -178,12 +182,12 @@
 
 @links.LINKS.register('grpc')
 class GrpcLink(links.BatchLink):
-    """Batches over gRPC, with threads beside trio's."""
+    """Batches over gRPC, which runs in threads of its own."""
 
     async def listen(self) -> None:
         """Serves inbound streams."""
         token = trio.lowlevel.current_trio_token()
-        # one thread for each peer that has a stream to us
+        # one thread for each peer with an inbound stream
         pool = futures.ThreadPoolExecutor(MAX_THREADS, 'peer-grpc')
         server = grpc.server(pool, options=CHANNEL_OPTIONS)
         server.add_generic_rpc_handlers((Exchange(self, token),))
@@ -205,7 +209,10 @@
         return wire
 
     def channel(self, peer_id: str, address: str) -> grpc.Channel:
-        """Returns a channel to a peer, which must have its own name."""
+        """Returns a channel to a peer.
+
+        With TLS the certificate of the peer must name its router id.
+        """
         if self.tls is None:
             return grpc.insecure_channel(address, CHANNEL_OPTIONS)
         self.tls.refresh()
@@ -216,11 +223,11 @@
 
 
 class Exchange(grpc.GenericRpcHandler):
-    """The one method that routers offer each other.
+    """The gRPC method by which routers exchange batches.
 
     Attributes:
-        link: The link that serves.
-        token: Its trio.
+        link: The link that serves the streams.
+        token: Token of the trio run of the link.
     """
 
     def __init__(self, link: GrpcLink, token: trio.lowlevel.TrioToken) -> None:
@@ -238,24 +245,24 @@
     def serve(
         self, stream: Iterator[bytes], context: grpc.ServicerContext
     ) -> Iterator[bytes]:
-        """Serves one stream, in a thread of gRPC's."""
+        """Serves one inbound stream, in a thread of gRPC."""
         names = None
         if self.link.tls is not None:
             names = certificate_names(context.auth_context())
         wire = StreamWire(self.token, names)
         wire.call = context
-        wire.soon(self.begin, wire)
+        wire.run_in_trio(self.start_serving, wire)
         threading.Thread(target=wire.read, args=(stream,), daemon=True).start()
         yield from wire.batches()
 
-    def begin(self, wire: StreamWire) -> None:
-        """Begins to serve a wire, in trio."""
+    def start_serving(self, wire: StreamWire) -> None:
+        """Starts to serve a wire, in the trio thread."""
         if self.link.nursery is not None:
-            self.link.nursery.start_soon(self.link.openings.accept, wire)
+            self.link.nursery.start_soon(self.link.opener.accept, wire)
 
 
 def certificate_names(context: dict) -> frozenset[str]:
-    """Returns the names in the certificate of a caller."""
+    """Returns the names in the certificate of the peer."""
     keys = ('x509_common_name', 'x509_subject_alternative_name')
     return frozenset(
         name.decode() for key in keys for name in context.get(key, ())
@@ -263,10 +270,10 @@
 
 
 def read_files(tls: peer_tls.PeerTls) -> tuple[bytes, bytes, bytes]:
-    """Returns key, certificate and authorities.
+    """Returns the contents of the key, certificate and CA files.
 
     Raises:
-        TlsFilesInvalid: One of them cannot be read.
+        TlsFilesInvalid: One of the files cannot be read.
     """
     try:
         return tuple(
@@ -278,22 +285,24 @@
 
 
 def server_credentials(tls: peer_tls.PeerTls) -> grpc.ServerCredentials:
-    """Returns credentials that follow the files."""
-    seen = [tls.generation]
+    """Returns server credentials that are reloaded when the files change."""
+    loaded_generation = [tls.generation]
 
-    def configuration() -> grpc.ServerCertificateConfiguration:
+    def load_configuration() -> grpc.ServerCertificateConfiguration:
         key, certificate, ca = read_files(tls)
         return grpc.ssl_server_certificate_configuration(
             [(key, certificate)], ca
         )
 
-    def changed() -> grpc.ServerCertificateConfiguration | None:
+    def reload_if_changed() -> grpc.ServerCertificateConfiguration | None:
         tls.refresh()
-        if tls.generation == seen[0]:
+        if tls.generation == loaded_generation[0]:
             return None
-        seen[0] = tls.generation
-        return configuration()
+        loaded_generation[0] = tls.generation
+        return load_configuration()
 
     return grpc.dynamic_ssl_server_credentials(
-        configuration(), changed, require_client_authentication=True
+        load_configuration(),
+        reload_if_changed,
+        require_client_authentication=True,
     )
--- a/lavenderbend/transport/peer_handlers.py
+++ b/lavenderbend/transport/peer_handlers.py
@@ -1,4 +1,4 @@
-"""What a link does with the messages that arrive."""
+"""Dispatch of the messages that a link receives."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     from lavenderbend.transport import peer_connections
 
 
-class Incoming:
-    """Hands messages to handlers and answers to those who wait.
+class MessageDispatcher:
+    """Passes requests and notices to handlers, and answers to their callers.
 
     Attributes:
         link: The link.
@@ -24,38 +24,44 @@
         self.link = link
 
     def dispatch(
-        self, connection: peer_connections.Connection, number: int, item: list
+        self, connection: peer_connections.Connection, number: int, values: list
     ) -> None:
-        """Takes one message of a batch.
+        """Dispatches one message of a batch.
+
+        Args:
+            connection: The connection it was received on.
+            number: 0 for a notice, positive for a request, the negated
+                number of the request for an answer.
+            values: The encoded message.
 
         Raises:
-            CodecError: It is no message of ours.
+            CodecError: The values are not a known message.
         """
-        message = peer.from_wire(item)
+        message = peer.from_wire(values)
         self.link.messages_received += 1
         if number == 0:
             connection.notices.append(message)
             return
         if number > 0:
-            self.begin_request(connection, number, message)
+            self.start_request(connection, number, message)
             return
-        call = self.link.calls.open.get(-number)
-        # an answer that comes after its timeout, or from a peer that was
-        # not asked, must not end another peer's request
-        if call is None or call.peer_id != connection.peer_id:
+        pending = self.link.pending_requests.requests.get(-number)
+        # an answer that arrives after the timeout, or from a peer the request
+        # was not sent to, must not end a request to another peer
+        if pending is None or pending.peer_id != connection.peer_id:
             self.link.count_dropped('late answer')
             return
-        call.answer = message
-        call.done.set()
+        pending.answer = message
+        pending.done.set()
 
-    def begin_request(
+    def start_request(
         self,
         connection: peer_connections.Connection,
         number: int,
         message: peer.Message,
     ) -> None:
-        """Starts the handler of a request."""
-        if connection.in_progress >= self.link.limits.handlers:
+        """Starts the handler of a request, or refuses the request if busy."""
+        if connection.in_progress >= self.link.limits.max_handlers:
             failure = peer.Failure('PeerBusy', 'too many requests', 0.1)
             self.reply(connection, number, failure)
             return
@@ -70,9 +76,9 @@
         number: int,
         message: peer.Message,
     ) -> None:
-        """Answers one request."""
+        """Calls the handler of a request and queues the answer."""
         try:
-            answer = await self.answer_of(connection.peer_id, message)
+            answer = await self.call_handler(connection.peer_id, message)
         finally:
             connection.in_progress -= 1
         self.reply(connection, number, answer)
@@ -84,13 +90,14 @@
         answer: peer.Message,
     ) -> None:
         """Queues an answer."""
-        box = self.link.box(connection.peer_id)
-        # the asker's process is gone, and its successor must not get this
-        if box.instance != connection.instance:
+        outbox = self.link.outbox(connection.peer_id)
+        # the process that sent the request has ended, and its successor must
+        # not receive the answer
+        if outbox.instance != connection.instance:
             return
-        self.link.enqueue(box, -number, answer, required=False)
+        self.link.enqueue(outbox, -number, answer, required=False)
 
-    async def answer_of(
+    async def call_handler(
         self, peer_id: str, message: peer.Message
     ) -> peer.Message:
         """Returns the handler's answer, or the failure it raised."""
@@ -103,15 +110,15 @@
             retry_after = getattr(exc, 'retry_after', None)
             return peer.Failure(type(exc).__name__, str(exc), retry_after)
         except Exception as exc:
-            # one wrong handler must not end the link of this router with
-            # all its peers; the asker gets a typed failure
+            # a fault in one handler must not end the link of this router to
+            # all its peers; the requesting router gets a typed failure
             self.link.count_dropped('handler failed')
             logs.change('peer_handler_failed', error=repr(exc))
             return peer.Failure('HandlerFailed', type(exc).__name__)
         return peer.Done() if answer is None else answer
 
     async def handle_notice(self, peer_id: str, message: peer.Message) -> None:
-        """Hands a notice to its handler; a failure is only counted."""
-        answer = await self.answer_of(peer_id, message)
+        """Calls the handler of a notice; a failure is only counted."""
+        answer = await self.call_handler(peer_id, message)
         if isinstance(answer, peer.Failure):
             self.link.count_dropped(f'notice {answer.kind}')
--- a/lavenderbend/transport/peer_openings.py
+++ b/lavenderbend/transport/peer_openings.py
@@ -1,4 +1,4 @@
-"""How connections to peers begin, and when unused ones end."""
+"""Opening of connections to peers, and closing of idle and old ones."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 OPENING_ERRORS = (OSError, trio.TooSlowError, errors.LavenderbendError)
 
 
-class Openings:
-    """Opens, accepts and in the end closes the connections of a link.
+class ConnectionOpener:
+    """Dials, accepts and retires the connections of a link.
 
     Attributes:
         link: The link.
-        accepting: Connections of peers that are opening now.
+        accepting: Number of inbound connections in their handshake.
     """
 
     def __init__(self, link: links.BatchLink) -> None:
@@ -30,85 +30,95 @@
         self.accepting = 0
 
     def may_accept(self) -> bool:
-        """Returns whether one more peer may begin to connect.
+        """Returns whether one more inbound connection may be opened.
 
-        Whoever reaches the port can open connections and say nothing. Each
-        is held until the handshake times out, so they are bounded.
+        Any host that can reach the port can open connections and send
+        nothing. Each stays open until the handshake times out, so their
+        number is limited.
         """
-        if self.accepting < self.link.limits.handshakes:
+        if self.accepting < self.link.limits.max_handshakes:
             return True
         self.link.count_dropped('too many handshakes')
         return False
 
-    def redial(self, box: peer_wires.Outbox) -> None:
-        """Opens a connection for what still waits in an outbox."""
-        if not box.items or box.dialing or self.link.nursery is None:
+    def redial(self, outbox: peer_wires.Outbox) -> None:
+        """Dials a peer if there are messages queued for it."""
+        if not outbox.messages or outbox.dialing or self.link.nursery is None:
             return
-        box.dialing = True
-        self.link.nursery.start_soon(self.dial_peer, box)
+        outbox.dialing = True
+        self.link.nursery.start_soon(self.dial_peer, outbox)
 
-    async def dial_peer(self, box: peer_wires.Outbox) -> None:
-        """Connects to a peer and serves the connection."""
-        host, port = self.link.addresses.get(box.peer_id, ('', 0))
+    async def dial_peer(self, outbox: peer_wires.Outbox) -> None:
+        """Dials a peer and serves the connection."""
+        host, port = self.link.addresses.get(outbox.peer_id, ('', 0))
         connection = None
-        greeted = False
+        hello_received = False
         try:
             with trio.fail_after(self.link.limits.dial_timeout):
-                wire = await self.link.dial(box.peer_id, host, port)
+                wire = await self.link.dial(outbox.peer_id, host, port)
                 connection = peer_connections.Connection(self.link, wire, True)
-                await connection.greet(box.peer_id)
-            greeted = True
+                await connection.exchange_hellos(outbox.peer_id)
+            hello_received = True
         except OPENING_ERRORS as exc:
-            self.dial_failed(box, exc)
+            self.note_dial_failure(outbox, exc)
             return
         finally:
-            if connection is not None and not greeted:
+            if connection is not None and not hello_received:
                 await discard(connection)
-        box.dialing = False
+        outbox.dialing = False
         await connection.serve()
 
-    def dial_failed(self, box: peer_wires.Outbox, exc: Exception) -> None:
-        """Gives up what waited for a connection that did not come."""
-        box.dialing = False
-        box.dial_after = trio.current_time() + self.link.limits.retry_delay
+    def note_dial_failure(
+        self, outbox: peer_wires.Outbox, exc: Exception
+    ) -> None:
+        """Drops the queued messages and fails the requests to the peer."""
+        outbox.dialing = False
+        outbox.dial_after = trio.current_time() + self.link.limits.retry_delay
         self.link.count_dropped('dial failed')
-        if box.connection is not None:
+        if outbox.connection is not None:
             return
-        box.clear()
-        self.link.calls.fail(f'no connection: {exc!r}', box.peer_id)
+        outbox.clear()
+        self.link.pending_requests.fail(
+            f'no connection: {exc!r}', outbox.peer_id
+        )
 
     async def accept(self, wire: peer_wires.Wire) -> None:
-        """Serves a wire that a peer has opened."""
+        """Serves a wire that a peer opened."""
         connection = peer_connections.Connection(self.link, wire, False)
-        greeted = False
+        hello_received = False
         try:
             with trio.fail_after(self.link.limits.dial_timeout):
-                await connection.greet(None)
-            greeted = True
+                await connection.exchange_hellos(None)
+            hello_received = True
         except OPENING_ERRORS as exc:
-            # counted before the peer can see the end of the connection
+            # counted before the peer can see that the connection is closed
             self.link.count_dropped('bad hello')
             logs.change('peer_refused', router=self.link.name, error=str(exc))
             return
         finally:
-            if not greeted:
+            if not hello_received:
                 await discard(connection)
         await connection.serve()
 
     async def close_idle(self) -> None:
-        """Closes connections that nobody has used for long, or are old."""
+        """Retires connections that are idle or older than the maximum age."""
         while True:
             await trio.sleep(
-                min(self.link.limits.idle, self.link.limits.age) / 4
+                min(self.link.limits.idle_timeout, self.link.limits.max_age) / 4
             )
             now = trio.current_time()
-            for connection in list(self.link.live):
-                unused = now - connection.last_used > self.link.limits.idle
-                if unused or now - connection.began > self.link.limits.age:
+            for connection in list(self.link.open_connections):
+                unused = (
+                    now - connection.last_used > self.link.limits.idle_timeout
+                )
+                if (
+                    unused
+                    or now - connection.opened_at > self.link.limits.max_age
+                ):
                     connection.retire()
 
 
 async def discard(connection: peer_connections.Connection) -> None:
-    """Closes a connection that did not open, also when cancelled."""
+    """Closes a connection whose handshake failed, even if cancelled."""
     with trio.CancelScope(shield=True):
         await connection.discard()
--- a/lavenderbend/transport/peer_wires.py
+++ b/lavenderbend/transport/peer_wires.py
@@ -1,4 +1,4 @@
-"""Wires that carry batches, and what waits to be sent on them."""
+"""Wires that carry batches of messages, and the outbox of each peer."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Wire(abc.ABC):
-    """Carries batches between two routers, both ways at once.
+    """Carries batches between two routers, in both directions.
 
     Attributes:
-        bytes_sent: Bytes given to the socket.
-        bytes_received: Bytes taken from the socket.
+        bytes_sent: Bytes written to the socket.
+        bytes_received: Bytes read from the socket.
         names: Names in the peer's certificate, None without TLS.
     """
 
@@ -43,12 +43,12 @@
 
         Raises:
             OSError: The connection is broken.
-            CodecError: The peer sent something else.
+            CodecError: The peer sent something other than a batch.
         """
 
     @abc.abstractmethod
     async def finish(self) -> None:
-        """Waits until all that was sent has left, before a close."""
+        """Waits before a close until all batches sent have left."""
 
     @abc.abstractmethod
     async def close(self) -> None:
@@ -56,84 +56,91 @@
 
 
 class Outbox:
-    """What waits to be sent to one peer.
+    """Messages queued for one peer, and the state of its connection.
 
     Attributes:
         peer_id: The peer.
-        items: Encoded messages in order, each with its call's number.
-        size: Their bytes.
+        messages: Encoded messages in order, each with its number (see
+            `peer_handlers.MessageDispatcher.dispatch`).
+        size: Total size of the messages in bytes.
         connection: The connection in use, if there is one.
-        dialing: Whether one is being opened.
-        dial_after: Router clock before which none is opened.
-        instance: Process of the peer that was connected last.
+        dialing: Whether a connection is being opened.
+        dial_after: Router clock before which no connection is opened.
+        instance: Identifies the process of the peer connected last.
+        not_empty: Set while there are messages.
     """
 
     def __init__(self, peer_id: str) -> None:
         self.peer_id = peer_id
-        self.items: collections.deque[tuple[int, bytes]] = collections.deque()
+        self.messages: collections.deque[tuple[int, bytes]] = (
+            collections.deque()
+        )
         self.instance = 0
         self.size = 0
         self.connection: peer_connections.Connection | None = None
         self.dialing = False
         self.dial_after = 0.0
-        self.filled = trio.Event()
+        self.not_empty = trio.Event()
 
     def put(self, number: int, data: bytes) -> None:
         """Appends a message."""
-        self.items.append((number, data))
+        self.messages.append((number, data))
         self.size += len(data)
-        self.filled.set()
+        self.not_empty.set()
 
-    def take(self, limit: int) -> list[bytes]:
-        """Removes and returns messages up to a number of bytes."""
-        taken: list[bytes] = []
+    def pop_batch(self, limit: int) -> list[bytes]:
+        """Removes and returns messages until they have `limit` bytes.
+
+        Returns at least one message if there is one.
+        """
+        batch: list[bytes] = []
         total = 0
-        while self.items and (not taken or total < limit):
-            _, data = self.items.popleft()
+        while self.messages and (not batch or total < limit):
+            _, data = self.messages.popleft()
             total += len(data)
-            taken.append(data)
+            batch.append(data)
         self.size -= total
-        if not self.items:
-            self.filled = trio.Event()
-        return taken
+        if not self.messages:
+            self.not_empty = trio.Event()
+        return batch
 
     def set_instance(self, instance: int) -> None:
-        """Notes the peer's process; drops answers meant for an earlier one.
+        """Sets the peer's process; drops answers to an earlier process.
 
-        A process that follows another under one id counts its requests
-        from one again: an answer to the other's request would be taken for
-        the answer to its own.
+        A new process with the same router id numbers its requests from 1
+        again, so it would match an answer to a request of its predecessor
+        with a request of its own.
         """
         if instance != self.instance:
-            kept = [item for item in self.items if item[0] >= 0]
-            self.items = collections.deque(kept)
+            kept = [queued for queued in self.messages if queued[0] >= 0]
+            self.messages = collections.deque(kept)
             self.size = sum(len(data) for _, data in kept)
         self.instance = instance
 
     def clear(self) -> None:
-        """Drops everything."""
-        self.items.clear()
+        """Drops all messages."""
+        self.messages.clear()
         self.size = 0
-        self.filled = trio.Event()
+        self.not_empty = trio.Event()
 
 
 def unpack(batch: bytes) -> list[tuple[int, list]]:
     """Returns the numbers and messages of a batch.
 
     Raises:
-        CodecError: It is no batch of ours.
+        CodecError: The bytes are not a valid batch.
     """
     unpacker = msgpack.Unpacker(
         max_buffer_size=peer.MAX_MESSAGE_BYTES * 2, strict_map_key=True
     )
-    items = []
+    messages = []
     try:
         unpacker.feed(batch)
         for entry in unpacker:
-            number, item = entry
-            if not isinstance(number, int) or not isinstance(item, list):
+            number, values = entry
+            if not isinstance(number, int) or not isinstance(values, list):
                 raise errors.CodecError('a batch entry is malformed')
-            items.append((number, item))
+            messages.append((number, values))
     except (ValueError, TypeError, msgpack.UnpackException) as exc:
         raise errors.CodecError(f'not a batch: {exc}') from exc
-    return items
+    return messages
--- a/tests/test_coordination/test_forwarding_removals.py
+++ b/tests/test_coordination/test_forwarding_removals.py
@@ -38,17 +38,17 @@
     removed = removals.Removals()
     removed.note(None, old)
     removed.note(old, new)
-    content = peer_datagrams.changes_of(new, 3, removed.removed_since(3))
+    content = peer_datagrams.changes_since(new, 3, removed.removed_since(3))
     assert content.keys is None
     assert (content.removed, len(content.changed)) == (['a'], 1)
-    assert peer_datagrams.merged(old, content) == new
+    assert peer_datagrams.apply_changes(old, content) == new
 
 
 def test_router_with_an_older_snapshot_gets_all_keys():
     removed = removals.Removals()
     removed.note(None, raw_snapshot(3, a=1))
     assert removed.removed_since(2) is None
-    content = peer_datagrams.changes_of(
+    content = peer_datagrams.changes_since(
         raw_snapshot(3, a=1), 2, removed.removed_since(2)
     )
     assert content.keys == ['a']
@@ -73,9 +73,9 @@
     # page by page while an entry was removed, so its revision is one at which
     # the entry still existed. The next router would keep that entry.
     old, new = raw_snapshot(3, a=1, b=2, c=3), raw_snapshot(5, b=4, c=3)
-    content = peer_datagrams.changes_of(new, 3, [])
+    content = peer_datagrams.changes_since(new, 3, [])
     with pytest.raises(errors.CodecError, match='fit'):
-        peer_datagrams.merged(old, content)
+        peer_datagrams.apply_changes(old, content)
 
 
 async def test_total_is_the_sum_of_the_loads(autojump_clock):
--- a/tests/test_transport/test_peer_datagrams.py
+++ b/tests/test_transport/test_peer_datagrams.py
@@ -86,11 +86,11 @@
     newer = forwarding.RawSnapshot(
         9, {'a': forwarding.RawItem(3, b'x'), 'c': forwarding.RawItem(9, b'z')}
     )
-    content = peer_datagrams.changes_of(newer, known.revision)
+    content = peer_datagrams.changes_since(newer, known.revision)
     assert [change[0] for change in content.changed] == ['c']
-    assert peer_datagrams.merged(known, content) == newer
+    assert peer_datagrams.apply_changes(known, content) == newer
     with pytest.raises(errors.CodecError):
-        peer_datagrams.merged(None, content)
+        peer_datagrams.apply_changes(None, content)
 
 
 async def test_router_without_snapshot_is_a_typed_failure(links):
@@ -113,7 +113,7 @@
         b'\x00\x00\x00\x05abc',
         b'\x00\x00\x00\x03abc',
         b'\xff\xff\xff\xff',
-        peer_datagrams.framed(NOTICE)[:-3],
+        peer_datagrams.encode_frame(NOTICE)[:-3],
     ],
 )
 async def test_broken_message_is_a_typed_failure(data):
--- a/tests/test_transport/test_peer_links.py
+++ b/tests/test_transport/test_peer_links.py
@@ -174,7 +174,9 @@
     async def close():
         for number in range(20):
             await trio.sleep(0.01)
-            for connection in list((first, second)[number % 2].live):
+            for connection in list(
+                (first, second)[number % 2].open_connections
+            ):
                 connection.retire()
 
     async with trio.open_nursery() as nursery:
@@ -277,7 +279,9 @@
     # a firewall begins to drop the packets of an open connection, so that
     # nothing comes any more and no error either. After some timeouts the
     # connection is closed and the next request dials a new one.
-    limits = peer_limits.LinkLimits(misses=2, silence=0.1, dial_timeout=0.2)
+    limits = peer_limits.LinkLimits(
+        max_timeouts=2, silence_seconds=0.1, dial_timeout=0.2
+    )
     first = await make(nursery, 'r1', limits)
 
     async def silent(stream):
@@ -350,7 +354,7 @@
 
     async def cut():
         await arrived.wait()
-        for connection in list(second.live):
+        for connection in list(second.open_connections):
             connection.abort()
 
     async with trio.open_nursery() as nursery:
--- a/tests/test_transport/test_tls.py
+++ b/tests/test_transport/test_tls.py
@@ -208,7 +208,7 @@
 async def test_idle_handshakes_are_bounded(nursery, files):
     # somebody opens connections to the peer port and says nothing on them.
     # Each would hold memory until its handshake times out.
-    limits = peer_limits.LinkLimits(handshakes=3, dial_timeout=60.0)
+    limits = peer_limits.LinkLimits(max_handshakes=3, dial_timeout=60.0)
     link = peer_frames.FramesLink(
         'r1', '127.0.0.1', 0, files.issue('r1'), limits
     )
@@ -231,6 +231,6 @@
                     await trio.lowlevel.checkpoint()
             scope.cancel()
 
-    assert link.openings.accepting == 3
+    assert link.opener.accepting == 3
     for stream in streams:
         await stream.aclose()
