--- a/lavenderbend/standin/vm_list.py
+++ b/lavenderbend/standin/vm_list.py
@@ -99,7 +99,7 @@
     async def read() -> quart.Response:
         if standin.down:
             return quart.Response('the VM list is down', 503)
-        lines = [vm_list_http.write_vm(vm) for vm in standin.vms()]
+        lines = [vm_list_http.vm_to_json(vm) for vm in standin.vms()]
         body = json.dumps({'vms': lines})
         etag = '"' + hashlib.sha256(body.encode()).hexdigest()[:16] + '"'
         headers = {'etag': etag, 'content-type': 'application/json'}
@@ -111,7 +111,7 @@
     async def put(vm_id: str) -> quart.Response:
         line: Any = await quart.request.get_json(force=True)
         try:
-            standin.add(vm_list_http.read_vm({**line, 'id': vm_id}))
+            standin.add(vm_list_http.vm_from_json({**line, 'id': vm_id}))
         except (KeyError, TypeError, ValueError) as exc:
             return quart.Response(f'no such VM: {exc!r}', 400)
         return quart.Response('', 204)
--- a/lavenderbend/transport/forwarding_operators.py
+++ b/lavenderbend/transport/forwarding_operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a forwarding router: it reads, never changes."""
+"""The read-only operators' interface of a forwarding router."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 ROUTES = operator_routes.FORWARDING_ROUTES
 WHEN_CUT_OFF = 'requests with a credential are refused'
-RULES_ELSEWHERE = (
+RULES_IN_STORE = (
     "this router forwards by the configuration in the platform's store: "
     'change it there; `status` and `explain` show what is in force'
 )
 
 
 class ForwardingOperators(operator_interface.OperatorInterface):
-    """What operators and their tools see of one forwarding router.
+    """The operators' interface of one forwarding router.
 
     Attributes:
         resolver: Rules and customers in force.
-        chooser: Finds upstreams.
+        chooser: Chooses upstreams.
         peers: Other routers.
         decisions: The latest decisions.
-        explainer: Says what would be decided.
+        explainer: Explains how a request would be routed.
     """
 
     def __init__(
@@ -77,38 +77,38 @@
 
 @operator_routes.route('POST', '/v1/explain', ROUTES)
 async def explained(app: ForwardingOperators) -> quart.Response:
-    """What would be decided for a request; nothing is sent."""
+    """How a request would be routed; nothing is sent."""
     body = await quart.request.get_data()
     question = operator_decisions.read_question(body)
     headers = {name.lower(): text for name, text in question.headers.items()}
-    found = app.explainer.explain(
+    explanation = app.explainer.explain(
         explain_module.ExplainRequest(
             question.customer, question.method, question.path, headers
         )
     )
-    return operator_routes.as_json(attrs.asdict(found, recurse=True))
+    return operator_routes.as_json(attrs.asdict(explanation, recurse=True))
 
 
 @operator_routes.route('GET', '/v1/rules', ROUTES)
 @operator_routes.route('GET', '/v1/rules/history', ROUTES)
 @operator_routes.route('POST', '/v1/rules/apply', ROUTES)
 @operator_routes.route('POST', '/v1/rules/diff', ROUTES)
-async def rules_elsewhere(app: ForwardingOperators) -> quart.Response:
-    """Says where the configuration is kept."""
-    return operator_routes.problem(409, 'rules-elsewhere', RULES_ELSEWHERE)
+async def refuse_rules_call(app: ForwardingOperators) -> quart.Response:
+    """Refused: the rules of a forwarding router are changed in the store."""
+    return operator_routes.problem(409, 'rules-elsewhere', RULES_IN_STORE)
 
 
 def status_json(app: ForwardingOperators) -> dict[str, Any]:
-    """Returns what this router knows of the fleet."""
-    followed = app.resolver.snapshots
-    table = followed.table
-    stale = not followed.may_serve_credentials()
+    """Returns the status of this router and what it knows of the fleet."""
+    snapshots = app.resolver.snapshots
+    table = snapshots.table
+    stale = not snapshots.may_serve_credentials()
     return {
         'router': app.name,
         'availability_zone': app.settings.availability_zone,
         'version': lavenderbend.__version__,
         'revision': None if table is None else {'number': table.version},
-        'cut_off_seconds': followed.age if stale else None,
+        'cut_off_seconds': snapshots.age if stale else None,
         'when_cut_off': WHEN_CUT_OFF,
         'fleet': fleet(app),
         'routers': list(routers(app)),
@@ -120,11 +120,11 @@
 
 
 def fleet(app: ForwardingOperators) -> dict[str, Any]:
-    """Returns how many routers this one counts, by zone."""
-    known = app.peers.fleet.recent()
+    """Returns the number of routers that this one counts, by zone."""
+    counts = app.peers.fleet.recent()
     return {
         'routers': app.peers.fleet_size(),
-        'zones': {zone: one.routers for zone, one in known.items()},
+        'zones': {zone: count.routers for zone, count in counts.items()},
         'budget_parts': app.peers.budget_divisor(),
     }
 
@@ -132,28 +132,30 @@
 def routers(app: ForwardingOperators) -> Iterator[dict[str, Any]]:
     """Yields the known routers and their state.
 
-    Those are the routers of the own zone, and of others those that were
-    heard or asked lately.
+    These are the routers of the same availability zone, and those routers of
+    other zones that recently sent or were sent a message.
     """
     members = app.peers.members
     for member in members.by_host.values():
         state = 'alive' if members.is_alive(member) else 'silent'
         state = 'leaving' if member.leaving else state
-        yield router_row(member.name, member.zone, state)
-    near = set(members.same_zone.alive())
-    silent = {*members.silent_hosts()}
-    for host in sorted((near | silent) - members.by_host.keys()):
-        zone = members.zone if host in near else ''
-        yield router_row(host, zone, 'alive' if host in near else 'silent')
+        yield router_json(member.name, member.zone, state)
+    same_zone = set(members.same_zone.alive())
+    silent_hosts = {*members.silent_hosts()}
+    for host in sorted((same_zone | silent_hosts) - members.by_host.keys()):
+        zone = members.zone if host in same_zone else ''
+        yield router_json(
+            host, zone, 'alive' if host in same_zone else 'silent'
+        )
 
 
-def router_row(name: str, zone: str, state: str) -> dict[str, Any]:
-    """Returns one router's row."""
+def router_json(name: str, zone: str, state: str) -> dict[str, Any]:
+    """Returns the status of one router as JSON."""
     return {
         'id': name,
         'availability_zone': zone,
         'state': state,
-        # routers tell each other the store's revision, not the version
+        # routers exchange the revision of the store, not the version
         'revision': None,
     }
 
@@ -162,14 +164,16 @@
     app: ForwardingOperators, table: forwarding.ForwardingTable
 ) -> Iterator[dict[str, Any]]:
     """Yields each pool with its upstreams and their load."""
-    found = app.resolver.snapshots.current.upstreams.values()
+    upstreams = app.resolver.snapshots.current.upstreams.values()
     for pool in table.pools:
         members = [
-            upstream_json(app, one)
-            for one in found
-            if one.vm.service == pool.name
+            upstream_json(app, upstream)
+            for upstream in upstreams
+            if upstream.vm.service == pool.name
+        ]
+        loads = [
+            member['load'] for member in members if member['takes_new_work']
         ]
-        loads = [one['load'] for one in members if one['takes_new_work']]
         mean = sum(loads) / len(loads) if loads else None
         yield {
             'name': pool.name,
@@ -182,7 +186,7 @@
 def upstream_json(
     app: ForwardingOperators, upstream: forwarding.Upstream
 ) -> dict[str, Any]:
-    """Returns an upstream with its load."""
+    """Returns an upstream and its load as JSON."""
     step = app.explainer.step(upstream, '')
     standing = app.chooser.health.describe(upstream.instance)
     live = upstream.vm.state is upstreams_module.VmState.LIVE
@@ -200,9 +204,9 @@
 def rule_hits(
     app: ForwardingOperators, table: forwarding.ForwardingTable
 ) -> Iterator[dict[str, Any]]:
-    """Yields the rules in order with how often each was the first match."""
+    """Yields the rules in order, each with its number of first matches."""
     for rule in table.rules:
-        shares = [f'{one.pool} {one.weight:g}' for one in rule.then.pools]
+        shares = [f'{share.pool} {share.weight:g}' for share in rule.then.pools]
         yield {
             'name': rule.name,
             'pool': ', '.join(shares),
--- a/lavenderbend/transport/key_value_etcd.py
+++ b/lavenderbend/transport/key_value_etcd.py
@@ -84,7 +84,7 @@
     async def read(
         self, key: str, end: str | None = None, limit: int = 0
     ) -> interfaces.Range:
-        """Reads a key or range; retries after a failure."""
+        """Reads a key or range; retries, as a repeated read is harmless."""
         body = etcd.key_range(key, end)
         if limit:
             body['limit'] = str(limit)
--- a/lavenderbend/transport/operator_client.py
+++ b/lavenderbend/transport/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' interface, for the command line."""
+"""Client of the operators' interface, for the command line."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
     from collections.abc import Mapping
 
 TIMEOUT_SECONDS = 10.0
-# a change waits for every live router; see `operator_rules.apply`
+# `apply` waits until every live router reports the revision; see
+# `operator_rules.apply`
 APPLY_TIMEOUT_SECONDS = 90.0
-STREAM_SILENCE_SECONDS = 60.0
+STREAM_READ_TIMEOUT_SECONDS = 60.0
 PROBLEM_PREFIX = 'urn:lavenderbend:problem:'
 
 
 class OperatorClient:
-    """One router's operators' interface.
+    """Calls the operators' interface of one router.
 
     Attributes:
         url: Base URL.
@@ -43,7 +44,8 @@
             timeout=TIMEOUT_SECONDS,
             transport=transport,
             trust_env=False,
-            # reading the certificate authorities takes 50 ms
+            # without TLS, skip reading the certificate authorities, which takes
+            # 50 ms
             verify=url.startswith('https:'),
         )
 
@@ -54,10 +56,10 @@
         await self.client.aclose()
 
     async def get(self, path: str, **query: str | int) -> Any:
-        """Returns the JSON at a path.
+        """Returns the decoded JSON at a path.
 
         Raises:
-            OperatorUnreachable: No answer.
+            OperatorUnreachable: The router did not answer.
             OperatorRefused: The answer is an error.
         """
         return await self.call('GET', path, query, b'', TIMEOUT_SECONDS)
@@ -69,7 +71,7 @@
         timeout: float = TIMEOUT_SECONDS,
         **query: str | int,
     ) -> Any:
-        """Returns the JSON that a call answers; errors as in `get`."""
+        """Returns the decoded JSON answer of a POST; raises as `get` does."""
         return await self.call('POST', path, query, body, timeout)
 
     async def call(
@@ -80,42 +82,44 @@
         body: bytes,
         timeout: float,
     ) -> Any:
-        """Makes one call."""
-        with self.reached():
+        """Makes one call; raises as `get` does."""
+        with self.connection_errors():
             response = await self.client.request(
                 method, path, params=query, content=body, timeout=timeout
             )
         if response.is_error:
-            raise refused(response)
+            raise error_from_response(response)
         try:
             return orjson.loads(response.content)
         except orjson.JSONDecodeError as exc:
             raise errors.OperatorRefused(
                 response.status_code,
                 'no-json',
-                f'{self.url} does not answer as a router does',
+                f'{self.url} did not answer with JSON, as a router does',
             ) from exc
 
     async def follow(
         self, path: str, query: Mapping[str, str]
     ) -> AsyncIterator[Any]:
         """Yields the data of each event of a live stream."""
-        timeout = httpx.Timeout(TIMEOUT_SECONDS, read=STREAM_SILENCE_SECONDS)
+        timeout = httpx.Timeout(
+            TIMEOUT_SECONDS, read=STREAM_READ_TIMEOUT_SECONDS
+        )
         headers = {'accept': 'text/event-stream'}
-        with self.reached():
+        with self.connection_errors():
             async with self.client.stream(
                 'GET', path, params=query, headers=headers, timeout=timeout
             ) as response:
                 if response.is_error:
                     await response.aread()
-                    raise refused(response)
+                    raise error_from_response(response)
                 async for line in response.aiter_lines():
                     if line.startswith('data: '):
                         yield orjson.loads(line.removeprefix('data: '))
 
     @contextlib.contextmanager
-    def reached(self) -> Any:
-        """Turns errors of the connection into `OperatorUnreachable`."""
+    def connection_errors(self) -> Any:
+        """Raises connection errors as `OperatorUnreachable`."""
         try:
             yield
         except (httpx.TransportError, httpx.InvalidURL) as exc:
@@ -123,8 +127,8 @@
             raise errors.OperatorUnreachable(f'{self.url}: {detail}') from exc
 
 
-def refused(response: httpx.Response) -> errors.OperatorError:
-    """Returns the error that an answer tells of."""
+def error_from_response(response: httpx.Response) -> errors.OperatorError:
+    """Returns the error that an unsuccessful answer stands for."""
     try:
         document = orjson.loads(response.content)
         kind = document['type'].removeprefix(PROBLEM_PREFIX)
--- a/lavenderbend/transport/operator_decisions.py
+++ b/lavenderbend/transport/operator_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions for operators: read back, filtered, as a live stream."""
+"""Decisions for operators: lookup, filtered lists and live streams."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     from lavenderbend.transport import forwarding_operators
     from lavenderbend.transport import operators
 
-    KeepsDecisions = (
+    AppWithDecisions = (
         operators.OperatorApp | forwarding_operators.ForwardingOperators
     )
 
@@ -42,16 +42,16 @@
 
 @attrs.frozen
 class Filter:
-    """Which decisions an operator wants; empty fields take all.
+    """Selects decisions by their fields; an empty field matches all.
 
     Attributes:
         customer: The customer.
         rule: Name of the rule.
         pool: Name of the pool.
         upstream: An upstream that was tried.
-        outcome: Outcome told to the caller.
-        error: Error type told to the caller.
-        path: Beginning of the path.
+        outcome: Outcome that the caller received.
+        error: Error type that the caller received.
+        path: Prefix of the path.
     """
 
     customer: str = ''
@@ -62,11 +62,11 @@
     error: str = ''
     path: str = ''
 
-    def takes(self, decision: decisions.Decision) -> bool:
-        """Returns whether the decision is wanted."""
+    def matches(self, decision: decisions.Decision) -> bool:
+        """Returns whether the decision matches all fields."""
         for name in ('customer', 'rule', 'pool', 'outcome', 'error'):
-            wanted = getattr(self, name)
-            if wanted and getattr(decision, name) != wanted:
+            value = getattr(self, name)
+            if value and getattr(decision, name) != value:
                 return False
         if self.upstream and not any(
             attempt.upstream == self.upstream for attempt in decision.attempts
@@ -75,9 +75,9 @@
         return decision.path.startswith(self.path)
 
     def query(self) -> str:
-        """Returns the fields in use as a query."""
-        used = {name: text for name, text in self.items() if text}
-        return parse.urlencode(used)
+        """Returns the nonempty fields as a URL query."""
+        nonempty = {name: text for name, text in self.items() if text}
+        return parse.urlencode(nonempty)
 
     def items(self) -> list[tuple[str, str]]:
         """Returns the fields and their values."""
@@ -85,17 +85,19 @@
 
 
 def read_filter() -> Filter:
-    """Returns the filter in the query of the call."""
+    """Returns the filter from the query of the HTTP call."""
     names = [field.name for field in attrs.fields(Filter)]
     return Filter(**{n: quart.request.args.get(n, '') for n in names})
 
 
 def select(
-    store: decisions.DecisionStore, wanted: Filter, limit: int
+    store: decisions.DecisionStore, decision_filter: Filter, limit: int
 ) -> list[decisions.Decision]:
-    """Returns the latest decisions that a filter takes, newest first."""
-    taken = (decision for decision in store if wanted.takes(decision))
-    return list(itertools.islice(taken, limit))
+    """Returns the latest matching decisions, newest first."""
+    matching = (
+        decision for decision in store if decision_filter.matches(decision)
+    )
+    return list(itertools.islice(matching, limit))
 
 
 def to_json(decision: decisions.Decision) -> dict[str, Any]:
@@ -107,57 +109,57 @@
     'GET', '/v1/decisions', operator_routes.FORWARDING_ROUTES
 )
 @operator_routes.route('GET', '/v1/decisions')
-async def recent(app: KeepsDecisions) -> quart.Response:
+async def recent(app: AppWithDecisions) -> quart.Response:
     """The latest decisions, newest first, or a live stream of them."""
-    wanted = read_filter()
+    decision_filter = read_filter()
     accepts = quart.request.accept_mimetypes
     if accepts.best == 'text/event-stream':
-        return stream_response(app.decisions, wanted)
+        return stream_response(app.decisions, decision_filter)
     limit = min(operator_routes.integer('limit', DEFAULT_LIMIT), MAX_LIMIT)
-    found = select(app.decisions, wanted, limit)
-    return operator_routes.as_json([to_json(item) for item in found])
+    latest = select(app.decisions, decision_filter, limit)
+    return operator_routes.as_json([to_json(decision) for decision in latest])
 
 
 def stream_response(
-    store: decisions.DecisionStore, wanted: Filter
+    store: decisions.DecisionStore, decision_filter: Filter
 ) -> quart.Response:
     """Returns the live stream as server-sent events."""
     response = quart.Response(
-        stream(store, wanted), content_type='text/event-stream'
+        stream(store, decision_filter), content_type='text/event-stream'
     )
     response.timeout = None
     return response
 
 
 async def stream(
-    store: decisions.DecisionStore, wanted: Filter
+    store: decisions.DecisionStore, decision_filter: Filter
 ) -> AsyncIterator[bytes]:
-    """Yields each decision once it has its outcome.
+    """Yields each decision once it has an outcome, as server-sent events.
 
-    The store is looked at a few times a second, and only while somebody
-    watches: the request path does nothing for it.
+    The store is polled every `STREAM_POLL_SECONDS` while a stream is open, so
+    that streams add no work to the request path.
     """
-    seen = {decision.id for decision in store if decision.outcome}
+    sent_ids = {decision.id for decision in store if decision.outcome}
     yield b': open\n\n'
     for poll in itertools.count(1):
         await trio.sleep(STREAM_POLL_SECONDS)
-        for decision in fresh(store, seen):
-            if wanted.takes(decision):
+        for decision in unsent_decisions(store, sent_ids):
+            if decision_filter.matches(decision):
                 data = orjson.dumps(to_json(decision))
                 yield b'event: decision\ndata: ' + data + b'\n\n'
         if poll % KEEP_ALIVE_POLLS == 0:
             yield b': still here\n\n'
 
 
-def fresh(
-    store: decisions.DecisionStore, seen: set[str]
+def unsent_decisions(
+    store: decisions.DecisionStore, sent_ids: set[str]
 ) -> Iterator[decisions.Decision]:
-    """Yields finished decisions not seen yet, oldest first."""
-    new = [d for d in store if d.outcome and d.id not in seen]
-    # ids that the store has forgotten are forgotten here too
-    seen.intersection_update(store.entries)
-    for decision in reversed(new):
-        seen.add(decision.id)
+    """Yields finished decisions that were not sent yet, oldest first."""
+    unsent = [d for d in store if d.outcome and d.id not in sent_ids]
+    # also drops the ids that the store no longer holds
+    sent_ids.intersection_update(store.entries)
+    for decision in reversed(unsent):
+        sent_ids.add(decision.id)
         yield decision
 
 
@@ -165,7 +167,7 @@
     'GET', '/v1/decisions/<decision_id>', operator_routes.FORWARDING_ROUTES
 )
 @operator_routes.route('GET', '/v1/decisions/<decision_id>')
-async def one(app: KeepsDecisions, decision_id: str) -> quart.Response:
+async def show(app: AppWithDecisions, decision_id: str) -> quart.Response:
     """One decision by its id."""
     decision = app.decisions.get(decision_id)
     if decision is None:
@@ -180,14 +182,14 @@
 
 @attrs.frozen
 class Question:
-    """A request to be explained.
+    """The request that an operator asks to have explained.
 
     Attributes:
         customer: The customer.
         method: HTTP method.
-        path: Path, with the query if there is one.
+        path: Path, including the query string if any.
         headers: Names in lower case.
-        chat_key: Key of the chat, if not in headers or body.
+        chat_key: Key of the chat; None to read it from headers or body.
         body: The body, as a JSON object.
     """
 
@@ -200,10 +202,10 @@
 
 
 def read_question(data: bytes) -> Question:
-    """Returns the question in a body.
+    """Returns the question in the body of a call.
 
     Raises:
-        DocumentErrors: It is no question.
+        DocumentErrors: The body is not a valid question.
     """
     try:
         value = orjson.loads(data)
@@ -214,7 +216,7 @@
 
 
 def to_request(question: Question, availability_zone: str) -> requests.Request:
-    """Returns the request that a question asks about."""
+    """Returns the request that a question describes."""
     body = orjson.dumps(question.body) if question.body is not None else b''
     headers = {name.lower(): text for name, text in question.headers.items()}
     chat = None
@@ -240,13 +242,13 @@
 
 @operator_routes.route('POST', '/v1/explain')
 async def explained(app: operators.OperatorApp) -> quart.Response:
-    """What would be decided for a request; nothing is sent."""
+    """How a request would be routed; nothing is sent."""
     question = read_question(await quart.request.get_data())
     request = to_request(question, app.settings.availability_zone)
-    found = explain.explain(
+    explanation = explain.explain(
         app.configurations.chain.current(), app.rules, app.membership, request
     )
-    value = attrs.asdict(found, recurse=True)
-    if found.then is not None:
-        value['then'] = structuring.CONVERTER.unstructure(found.then)
+    value = attrs.asdict(explanation, recurse=True)
+    if explanation.then is not None:
+        value['then'] = structuring.CONVERTER.unstructure(explanation.then)
     return operator_routes.as_json(value)
--- a/lavenderbend/transport/operator_interface.py
+++ b/lavenderbend/transport/operator_interface.py
@@ -1,4 +1,4 @@
-"""What every operators' interface does: its credential, errors, headers."""
+"""Base of the operators' interfaces: authentication, errors, headers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class OperatorInterface:
-    """Serves operators' views on an address of their own.
+    """Serves the operators' views on a separate address.
 
     Attributes:
         name: Id of this router.
@@ -59,8 +59,8 @@
         app.config['MAX_CONTENT_LENGTH'] = MAX_BODY_BYTES
         app.config['PROVIDE_AUTOMATIC_OPTIONS'] = False
         app.before_request(self.authenticate)
-        app.after_request(self.finish)
-        app.register_error_handler(Exception, answer_error)
+        app.after_request(self.set_headers)
+        app.register_error_handler(Exception, error_response)
         for key in self.routes:
             entry = self.routes.get(key)
             app.add_url_rule(
@@ -76,43 +76,45 @@
     ) -> Callable[..., Awaitable[quart.Response]]:
         """Returns the view with this interface as its first argument."""
 
-        async def bound(**parts: str) -> quart.Response:
+        async def bound(**path_values: str) -> quart.Response:
             try:
-                return await view(self, **parts)
+                return await view(self, **path_values)
             except Exception as exc:
-                # quart-trio takes groups apart and answers for one member;
-                # an operator wants all faults of a document
-                return await answer_error(exc)
+                # quart-trio unwraps an exception group and answers for one of
+                # its members; an operator needs all faults of a document
+                return await error_response(exc)
 
         return bound
 
     async def authenticate(self) -> quart.Response | None:
         """Refuses calls without the operators' credential.
 
-        Browsers send it as the password of Basic authentication, on their
-        own and also for pages of others; so it counts only for reading.
+        Browsers send a Basic password automatically, also with requests that
+        the pages of other sites cause. Basic authentication is therefore
+        accepted only for reading, which protects changes against cross-site
+        request forgery.
         """
-        given = quart.request.authorization
-        if given is None:
+        authorization = quart.request.authorization
+        if authorization is None:
             return self.refuse('give the operators credential')
-        if given.type == 'bearer':
-            secret = given.token or ''
-        elif given.type == 'basic' and quart.request.method == 'GET':
-            secret = given.password or ''
+        if authorization.type == 'bearer':
+            secret = authorization.token or ''
+        elif authorization.type == 'basic' and quart.request.method == 'GET':
+            secret = authorization.password or ''
         else:
             return self.refuse('changes need a bearer credential')
-        if not matches(self.settings.operators.credential, secret):
+        if not secret_matches(self.settings.operators.credential, secret):
             return self.refuse('the operators credential is wrong')
         return None
 
     def refuse(self, detail: str) -> quart.Response:
-        """Returns the answer to a call without the right credential."""
-        answer = operator_routes.problem(401, 'not-authenticated', detail)
-        answer.headers['www-authenticate'] = 'Basic realm="lavenderbend"'
-        return answer
+        """Returns the response to a call without a valid credential."""
+        response = operator_routes.problem(401, 'not-authenticated', detail)
+        response.headers['www-authenticate'] = 'Basic realm="lavenderbend"'
+        return response
 
-    async def finish(self, response: quart.Response) -> quart.Response:
-        """Counts the call and forbids keeping or embedding its answer."""
+    async def set_headers(self, response: quart.Response) -> quart.Response:
+        """Counts the call and sets headers against caching and embedding."""
         CALLS.inc({'status': str(response.status_code)})
         response.headers['cache-control'] = 'no-store'
         response.headers['x-frame-options'] = 'DENY'
@@ -129,7 +131,7 @@
         port: int,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves operators until cancelled; starts with the bound port."""
+        """Serves operators until cancelled; reports the bound port at start."""
         await serving.serve(
             self.app,
             host,
@@ -139,17 +141,17 @@
         )
 
 
-def matches(salted: str, secret: str) -> bool:
-    """Returns whether a secret belongs to `salt$sha256(salt + secret)`."""
+def secret_matches(salted: str, secret: str) -> bool:
+    """Returns whether a secret has the hash `salt$sha256(salt + secret)`."""
     salt, separator, expected = salted.partition('$')
     if not separator or not secret:
         return False
-    found = hashlib.sha256((salt + secret).encode()).hexdigest()
-    return hmac.compare_digest(found, expected)
+    digest = hashlib.sha256((salt + secret).encode()).hexdigest()
+    return hmac.compare_digest(digest, expected)
 
 
-async def answer_error(error: Exception) -> quart.Response:
-    """Returns problem details; an operator never sees a traceback."""
+async def error_response(error: Exception) -> quart.Response:
+    """Returns the problem details for an error, without a traceback."""
     problem = operator_routes.problem
     if isinstance(error, errors.DocumentErrors):
         faults = [
--- a/lavenderbend/transport/operator_routes.py
+++ b/lavenderbend/transport/operator_routes.py
@@ -1,4 +1,4 @@
-"""The routes of the operators' interfaces; modules of views fill them."""
+"""Registries of the operators' routes, and helpers for views."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class Route:
-    """One method and path.
+    """An HTTP method and path with its view.
 
     Attributes:
         method: HTTP method.
-        path: Path in the form of quart.
-        view: Gets the interface and the parts of the path.
+        path: Path in the route syntax of Quart.
+        view: Called with the interface and the variables of the path.
     """
 
     method: str
@@ -37,7 +37,7 @@
 
     @property
     def doc(self) -> str:
-        """First line of what the view is for."""
+        """First line of the docstring of the view."""
         return (self.view.__doc__ or '').partition('\n')[0]
 
 
@@ -54,8 +54,8 @@
 
     Args:
         method: HTTP method.
-        path: Path in the form of quart.
-        routes: The interface that the view belongs to.
+        path: Path in the route syntax of Quart.
+        routes: Registry of the interface that the view belongs to.
     """
 
     def decorate(view: View) -> View:
@@ -66,7 +66,7 @@
 
 
 def as_json(value: Any, status: int = 200) -> quart.Response:
-    """Returns an answer in JSON."""
+    """Returns a JSON response."""
     response = quart.jsonify(value)
     response.status_code = status
     return response
@@ -91,10 +91,10 @@
 
 
 def integer(name: str, default: int) -> int:
-    """Returns a whole number, not negative, from the query.
+    """Returns a nonnegative integer from the query.
 
     Raises:
-        RequestInvalid: It is no such number.
+        RequestInvalid: The value is not a nonnegative integer.
     """
     text = quart.request.args.get(name)
     if text is None:
@@ -104,11 +104,11 @@
     return int(text)
 
 
-def seconds(name: str, default: float, most: float) -> float:
-    """Returns a time from the query, at most `most`.
+def seconds(name: str, default: float, maximum: float) -> float:
+    """Returns a number of seconds from the query.
 
     Raises:
-        RequestInvalid: It is no number of seconds.
+        RequestInvalid: The value is not a number from 0 to `maximum`.
     """
     text = quart.request.args.get(name)
     if text is None:
@@ -117,6 +117,6 @@
         value = float(text)
     except ValueError as exc:
         raise errors.RequestInvalid(f'{name} must be seconds') from exc
-    if not 0 <= value <= most:
-        raise errors.RequestInvalid(f'{name} must be 0 to {most:g} seconds')
+    if not 0 <= value <= maximum:
+        raise errors.RequestInvalid(f'{name} must be 0 to {maximum:g} seconds')
     return value
--- a/lavenderbend/transport/operator_rules.py
+++ b/lavenderbend/transport/operator_rules.py
@@ -1,4 +1,4 @@
-"""Rules for operators: shown, compared, accepted."""
+"""The operators' views of the rules: show, compare and apply."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 DEFAULT_HISTORY = 20
 MAX_HISTORY = 1000
-IN_FORCE_SECONDS = 10.0
-MAX_IN_FORCE_SECONDS = 60.0
+IN_FORCE_TIMEOUT_SECONDS = 10.0
+MAX_IN_FORCE_TIMEOUT_SECONDS = 60.0
 
 
 def revision_json(
     revision: configuration.Revision | configuration_log.HistoryEntry,
 ) -> dict[str, Any]:
-    """Returns who had a revision accepted, when and why."""
+    """Returns the number, digest, author, reason and time of a revision."""
     return {
         'number': revision.number,
         'digest': revision.digest,
@@ -42,12 +42,13 @@
 
 
 async def parse(text: bytes) -> configuration.Configuration:
-    """Returns the configuration in a body.
+    """Returns the configuration in the body of a call.
 
-    A large one takes a second: callers are served meanwhile.
+    Parses in a thread, as a large document takes a second and requests of
+    callers are served meanwhile.
 
     Raises:
-        DocumentErrors: All its faults.
+        DocumentErrors: The document is invalid; contains all its faults.
     """
     return await trio.to_thread.run_sync(
         documents_yaml.parse_configuration, text, 'rules'
@@ -56,7 +57,7 @@
 
 @operator_routes.route('GET', '/v1/rules')
 async def show(app: operators.OperatorApp) -> quart.Response:
-    """The configuration in force here, as the YAML it can be edited in."""
+    """The configuration in force on this router, as editable YAML."""
     revision = app.configurations.chain.current()
     return operator_routes.as_json(
         {
@@ -68,7 +69,7 @@
 
 @operator_routes.route('GET', '/v1/rules/history')
 async def history(app: operators.OperatorApp) -> quart.Response:
-    """The latest revisions, newest first: who, when, why."""
+    """The latest revisions, newest first, with author, time and reason."""
     limit = min(operator_routes.integer('limit', DEFAULT_HISTORY), MAX_HISTORY)
     revisions = await app.configuration_log.history(limit)
     newest_first = reversed(revisions)
@@ -77,19 +78,21 @@
 
 @operator_routes.route('POST', '/v1/rules/apply')
 async def apply(app: operators.OperatorApp) -> quart.Response:
-    """Accepts a configuration made from the revision that was seen.
+    """Accepts a configuration that was edited from the revision seen.
 
-    Answers when every live router has it in force, or names those that
-    have not reported it in time.
+    Responds when the configuration is in force on every live router, or names
+    the routers that did not report this in time.
     """
     args = quart.request.args
     text = await quart.request.get_data()
     document = await parse(text)
     if 'seen' not in args:
-        raise errors.RequestInvalid('seen must give the revision seen')
+        raise errors.RequestInvalid(
+            'seen must be the number of the revision that was edited'
+        )
     seen = operator_routes.integer('seen', 0)
     wait = operator_routes.seconds(
-        'wait', IN_FORCE_SECONDS, MAX_IN_FORCE_SECONDS
+        'wait', IN_FORCE_TIMEOUT_SECONDS, MAX_IN_FORCE_TIMEOUT_SECONDS
     )
     started = trio.current_time()
     accepted = await app.configuration_log.accept(
@@ -116,17 +119,18 @@
 
 @operator_routes.route('POST', '/v1/rules/diff')
 async def diff(app: operators.OperatorApp) -> quart.Response:
-    """Which recorded decisions would go another way under other rules."""
+    """Recorded decisions that would be different under other rules."""
     text = await quart.request.get_data()
     document = await parse(text)
     current = app.configurations.chain.current()
     candidate = configuration.Revision(current.number + 1, '', document)
     limit = operator_routes.integer('limit', app.decisions.capacity)
     recorded = list(itertools.islice(app.decisions, limit))
-    # thousands of decisions take a while: requests go on meanwhile
-    found = await trio.to_thread.run_sync(
+    # in a thread: thousands of decisions take a while, and requests of callers
+    # are served meanwhile
+    comparison = await trio.to_thread.run_sync(
         rule_differences.differences, recorded, current, candidate
     )
     return operator_routes.as_json(
-        {'seen': current.number, **attrs.asdict(found)}
+        {'seen': current.number, **attrs.asdict(comparison)}
     )
--- a/lavenderbend/transport/operator_status.py
+++ b/lavenderbend/transport/operator_status.py
@@ -1,4 +1,4 @@
-"""The state of one router for operators, and its metrics."""
+"""The operators' views of the status and the metrics of one router."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 def status_json(app: operators.OperatorApp) -> dict[str, Any]:
-    """Returns what this router knows of the fleet."""
-    revision = current(app)
+    """Returns the status of this router and what it knows of the fleet."""
+    revision = current_revision(app)
     document = revision.document if revision else None
     return {
         'router': app.name,
@@ -45,11 +45,13 @@
     }
 
 
-def current(app: operators.OperatorApp) -> configuration.Revision | None:
+def current_revision(
+    app: operators.OperatorApp,
+) -> configuration.Revision | None:
     """Returns the newest revision known here, None before the first.
 
-    Asked of the chain: a router that is cut off and refuses requests still
-    shows what it has.
+    Read from the chain, so that a router that is cut off and refuses requests
+    still shows its revision.
     """
     try:
         return app.configurations.chain.current()
@@ -58,13 +60,16 @@
 
 
 def cut_off_seconds(app: operators.OperatorApp) -> float | None:
-    """Returns for how long nobody has confirmed the revision, if so."""
+    """Returns the seconds since the revision was last confirmed.
+
+    None while the router is not cut off.
+    """
     since = app.configurations.stale_since
     return None if since is None else trio.current_time() - since
 
 
 def routers(app: operators.OperatorApp) -> Iterator[dict[str, Any]]:
-    """Yields the known routers, their state and the revision of each."""
+    """Yields each known router with its state and revision."""
     reported = app.configurations.in_force()
     for vm in app.membership.all_vms():
         if vm.kind is not upstreams.UpstreamKind.ROUTER:
@@ -84,9 +89,9 @@
     """Yields each pool with its upstreams and their load."""
     vms = app.membership.all_vms()
     for pool in document.pools:
-        taking = {vm.id for vm in app.membership.upstreams(pool.service)}
+        candidate_ids = {vm.id for vm in app.membership.upstreams(pool.service)}
         members = [
-            upstream(app.membership, vm, vm.id in taking)
+            upstream_json(app.membership, vm, vm.id in candidate_ids)
             for vm in vms
             if vm.service == pool.service
         ]
@@ -108,14 +113,14 @@
         }
 
 
-def upstream(
+def upstream_json(
     membership: membership_module.FleetMembership,
     vm: upstreams.Vm,
     takes_new_work: bool,
 ) -> dict[str, Any]:
-    """Returns an upstream with its last report."""
+    """Returns an upstream and its last load report as JSON."""
     report = membership.report(vm.id)
-    shown = {
+    row = {
         'id': vm.id,
         'address': f'{vm.host}:{vm.port}',
         'availability_zone': vm.availability_zone,
@@ -127,10 +132,10 @@
         'adapters': [],
     }
     if report is None:
-        return shown
+        return row
     age = trio.current_time() - membership.report_at(vm.id)
     return {
-        **shown,
+        **row,
         'load': report.load,
         'report_age': round(age, 3),
         'models': list(report.models),
@@ -141,7 +146,7 @@
 def rule_hits(
     app: operators.OperatorApp, document: configuration.Configuration
 ) -> Iterator[dict[str, Any]]:
-    """Yields the rules in order with how often each was the first match."""
+    """Yields the rules in order, each with its number of first matches."""
     for rule in document.rules:
         yield {
             'name': rule.name,
--- a/lavenderbend/transport/operators.py
+++ b/lavenderbend/transport/operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface, on its own address with its own credential."""
+"""The operators' interface, with a separate address and credential."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
     from lavenderbend.state import decisions as decisions_module
     from lavenderbend.state import settings as settings_module
 
-# modules whose views are registered by their import
+# modules that register their views on import
 VIEWS = (operator_decisions, operator_rules, operator_status, status_page)
 
 
 class OperatorApp(operator_interface.OperatorInterface):
-    """What operators and their tools see of one router.
+    """The operators' interface of one router.
 
     Attributes:
-        configurations: The revision in force here and on the others.
-        configuration_log: Where a new revision is accepted.
+        configurations: The revisions in force on this and other routers.
+        configuration_log: Accepts new revisions.
         membership: Live routers and upstreams.
         decisions: The latest decisions.
-        admission: Permits.
+        admission: Grants permits for upstreams.
         link: The link to the other routers.
         rules: Matches requests and counts hits.
     """
--- a/lavenderbend/transport/readiness.py
+++ b/lavenderbend/transport/readiness.py
@@ -1,4 +1,4 @@
-"""Tells the balancer whether this router takes requests, and its metrics."""
+"""HTTP server of the load balancer's readiness check and the metrics."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
 RECEIVE_BYTES = 8 * 1024
-# who asks and then falls silent holds its connection no longer than this
+# closes connections on which no further request is received
 IDLE_SECONDS = 30.0
 METRICS_PATH = b'/metrics'
 OK = 200
@@ -24,11 +24,11 @@
 
 
 class ReadinessServer:
-    """Answers the balancer's question and serves the metrics.
+    """Answers the readiness checks of the balancer and serves the metrics.
 
     Attributes:
-        path: The path that the balancer asks for.
-        ready: Returns whether requests are taken.
+        path: Path of the readiness check.
+        ready: Returns whether this router accepts requests.
     """
 
     def __init__(self, path: str, ready: Callable[[], bool]) -> None:
@@ -87,7 +87,7 @@
                 return None
 
     def answer(self, target: bytes) -> tuple[int, bytes]:
-        """Returns status and body of an answer."""
+        """Returns the status and body of the response to a request target."""
         if target == self.path:
             return (OK if self.ready() else UNAVAILABLE), b''
         if target == METRICS_PATH:
@@ -96,7 +96,7 @@
 
 
 def encode(protocol: h11.Connection, status: int, body: bytes) -> bytes:
-    """Returns the bytes of an answer."""
+    """Returns an encoded HTTP response."""
     headers = [(b'content-length', b'%d' % len(body))]
     data = protocol.send(h11.Response(status_code=status, headers=headers))
     if body:
--- a/lavenderbend/transport/status_page.py
+++ b/lavenderbend/transport/status_page.py
@@ -1,4 +1,4 @@
-"""The status page in the browser, rendered on the router."""
+"""The status page for browsers, rendered by the router."""
 
 from __future__ import annotations
 
@@ -18,40 +18,44 @@
 REFRESH_SECONDS = 5
 
 
-def clock(at: float) -> str:
-    """Returns a time since the epoch as UTC."""
+def format_time(at: float) -> str:
+    """Formats seconds since the epoch as UTC with milliseconds."""
     moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
     return moment.strftime('%Y-%m-%d %H:%M:%S.%f')[:-3]
 
 
-def milliseconds(seconds: float | None) -> str:
-    """Returns a duration as people compare them."""
+def format_milliseconds(seconds: float | None) -> str:
+    """Formats a duration in milliseconds, None as an empty text."""
     return '' if seconds is None else f'{seconds * 1000:.1f} ms'
 
 
-def figure(value: float | None) -> str:
-    """Returns a number with two decimals, a dash for none."""
+def format_number(value: float | None) -> str:
+    """Formats a number with two decimals, None as a dash."""
     return '-' if value is None else f'{value:.2f}'
 
 
-HELPERS = {'clock': clock, 'ms': milliseconds, 'figure': figure}
+HELPERS = {
+    'clock': format_time,
+    'ms': format_milliseconds,
+    'figure': format_number,
+}
 
 
 @operator_routes.route('GET', '/')
 async def overview(app: operators.OperatorApp) -> quart.Response:
     """The status page: routers, upstreams, rules, recent decisions."""
-    wanted = operator_decisions.read_filter()
+    decision_filter = operator_decisions.read_filter()
     text = await quart.render_template(
         'status.html',
         status=operator_status.status_json(app),
-        wanted=wanted,
+        wanted=decision_filter,
         decisions=operator_decisions.select(
-            app.decisions, wanted, SHOWN_DECISIONS
+            app.decisions, decision_filter, SHOWN_DECISIONS
         ),
         refresh=REFRESH_SECONDS,
         live='live' in quart.request.args,
-        live_url=f'/?{wanted.query()}&live=1',
-        still_url=f'/?{wanted.query()}',
+        live_url=f'/?{decision_filter.query()}&live=1',
+        still_url=f'/?{decision_filter.query()}',
         **HELPERS,
     )
     return quart.Response(text, content_type='text/html; charset=utf-8')
@@ -61,18 +65,18 @@
 async def decision(
     app: operators.OperatorApp, decision_id: str
 ) -> quart.Response:
-    """The page of one decision, down to the candidates."""
-    found = app.decisions.get(decision_id)
+    """The page of one decision, with its attempts and candidates."""
+    record = app.decisions.get(decision_id)
     text = await quart.render_template(
         'decision.html',
         router=app.name,
-        decision=found,
+        decision=record,
         decision_id=decision_id,
         capacity=app.decisions.capacity,
         **HELPERS,
     )
     return quart.Response(
         text,
-        status=200 if found else 404,
+        status=200 if record else 404,
         content_type='text/html; charset=utf-8',
     )
--- a/lavenderbend/transport/vm_list_http.py
+++ b/lavenderbend/transport/vm_list_http.py
@@ -1,4 +1,4 @@
-"""The platform's VM list over HTTP."""
+"""Reads the platform's VM list over HTTP."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @vm_lists.VM_LISTS.register('http')
 class HttpVmList(interfaces.VmList):
-    """Reads `{"vms": [...]}` by GET; unchanged lists cost no body.
+    """Reads `{"vms": [...]}` by GET; an unchanged list is not sent again.
 
     Attributes:
-        url: Where the list is.
-        timeout: Seconds for one read.
+        url: URL of the list.
+        timeout: Timeout of one read in seconds.
     """
 
     def __init__(self, url: str, timeout: float = 2.0) -> None:
@@ -31,10 +31,10 @@
         self.bytes_received = 0
 
     async def fetch(self) -> tuple[upstreams.Vm, ...]:
-        """Returns the list as the platform now gives it.
+        """Returns the current list of the platform.
 
         Raises:
-            OSError: The list cannot be had, or is no such list.
+            OSError: The list cannot be read or is invalid.
         """
         headers = {'if-none-match': self.etag} if self.etag else {}
         try:
@@ -47,9 +47,11 @@
         if answer.status_code != httpx.codes.OK:
             raise ConnectionError(f'{self.url}: HTTP {answer.status_code}')
         if len(answer.content) > MAX_LIST_BYTES:
-            raise ConnectionError(f'{self.url}: the list is too long')
+            raise ConnectionError(
+                f'{self.url}: list too large: {len(answer.content)} bytes'
+            )
         try:
-            vms = tuple(read_vm(line) for line in answer.json()['vms'])
+            vms = tuple(vm_from_json(entry) for entry in answer.json()['vms'])
         except (ValueError, KeyError, TypeError) as exc:
             raise ConnectionError(f'{self.url}: {exc!r}') from exc
         self.last = vms
@@ -57,35 +59,35 @@
         return vms
 
 
-def read_vm(line: dict[str, Any]) -> upstreams.Vm:
-    """Returns the VM of one line.
+def vm_from_json(entry: dict[str, Any]) -> upstreams.Vm:
+    """Returns the VM that an entry of the list describes.
 
     Raises:
         KeyError: A field is missing.
         TypeError: A field has the wrong type.
-        ValueError: A field has an impossible value.
+        ValueError: A field has an invalid value.
     """
     for name in ('id', 'host', 'availability_zone', 'service'):
-        if not isinstance(line[name], str) or not line[name]:
-            raise TypeError(f'{name} is {line[name]!r}')
-    # a JSON true is an int here, and would be port 1
-    port = line['port']
+        if not isinstance(entry[name], str) or not entry[name]:
+            raise TypeError(f'{name} is {entry[name]!r}')
+    # JSON true is a Python int (bool) and would pass as port 1
+    port = entry['port']
     if type(port) is not int or not 0 < port < 65536:
         raise ValueError(f'port is {port!r}')
     return upstreams.Vm(
-        id=line['id'],
-        host=line['host'],
+        id=entry['id'],
+        host=entry['host'],
         port=port,
-        availability_zone=line['availability_zone'],
-        service=line['service'],
-        kind=upstreams.UpstreamKind(line['kind']),
-        region=str(line.get('region', 'default')),
-        state=upstreams.VmState(line.get('state', 'live')),
+        availability_zone=entry['availability_zone'],
+        service=entry['service'],
+        kind=upstreams.UpstreamKind(entry['kind']),
+        region=str(entry.get('region', 'default')),
+        state=upstreams.VmState(entry.get('state', 'live')),
     )
 
 
-def write_vm(vm: upstreams.Vm) -> dict[str, Any]:
-    """Returns the line of a VM."""
+def vm_to_json(vm: upstreams.Vm) -> dict[str, Any]:
+    """Returns the entry of a VM."""
     return {
         'id': vm.id,
         'host': vm.host,
--- a/lavenderbend/transport/vm_lists.py
+++ b/lavenderbend/transport/vm_lists.py
@@ -1,4 +1,4 @@
-"""Where the VM list comes from."""
+"""Sources of the VM list."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @VM_LISTS.register('static')
 class StaticVmList(interfaces.VmList):
-    """A list that stays as it was given.
+    """A fixed list.
 
     Attributes:
-        vms: The list; may be replaced by tests.
+        vms: The list; tests may replace it.
     """
 
     def __init__(self, vms: Iterable[upstreams.Vm]) -> None:
--- a/tests/test_transport/test_vm_lists.py
+++ b/tests/test_transport/test_vm_lists.py
@@ -60,7 +60,7 @@
 
 async def test_operators_of_the_stand_in_change_it_over_http(served):
     _, url = served
-    line = vm_list_http.write_vm(attrs.evolve(ENGINE, id='engine-2'))
+    line = vm_list_http.vm_to_json(attrs.evolve(ENGINE, id='engine-2'))
     async with httpx.AsyncClient() as client:
         assert (
             await client.put(f'{url}/engine-2', json=line)
@@ -101,10 +101,10 @@
     ],
 )
 async def test_wrong_lines_are_refused(change):
-    line = {**vm_list_http.write_vm(ENGINE), **change}
+    line = {**vm_list_http.vm_to_json(ENGINE), **change}
 
     with pytest.raises((TypeError, ValueError)):
-        vm_list_http.read_vm(line)
+        vm_list_http.vm_from_json(line)
 
 
 @pytest.mark.parametrize('body', [b'', b'[]', b'{"vms": 3}', b'{"vms": [3]}'])
