--- a/tests/operator_fakes.py
+++ b/tests/operator_fakes.py
@@ -1,4 +1,4 @@
-"""A router's parts as the operators' interface needs them, in memory."""
+"""An operators' interface over in-memory fakes of a router's components."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 
 
 class FakeConfigurations(interfaces.Configurations):
-    """Revisions in a list; both the log and its follower."""
+    """Revisions in a list; replaces both the log and its follower."""
 
     def __init__(self) -> None:
         self.revisions: list[configuration.Revision] = []
@@ -143,8 +143,8 @@
 
 
 @attrs.frozen
-class Parts:
-    """What an operators' interface was made from."""
+class OperatorFakes:
+    """An operators' interface and the fakes that it was created with."""
 
     operators: operators.OperatorApp
     configurations: FakeConfigurations
@@ -153,9 +153,9 @@
     rules: rules.RuleSet
 
 
-def make(accept_rules: bool = True) -> Parts:
+def make(accept_rules: bool = True) -> OperatorFakes:
     """Returns an operators' interface over fakes."""
-    item = settings.RouterSettings(
+    router_settings = settings.RouterSettings(
         id='router-1',
         availability_zone='sala-a',
         key_value=settings.KeyValueSettings(('http://127.0.0.1:1',)),
@@ -177,9 +177,9 @@
         None,
         None,
         rule_set,
-        item,
+        router_settings,
     )
-    return Parts(app, configurations, membership, store, rule_set)
+    return OperatorFakes(app, configurations, membership, store, rule_set)
 
 
 def decision(number: int, **fields: object) -> decisions.Decision:
--- a/tests/test_transport/test_forwarding_operators.py
+++ b/tests/test_transport/test_forwarding_operators.py
@@ -1,4 +1,4 @@
-"""What operators see of a forwarding router, over fakes."""
+"""The operators' interface of a forwarding router, over fakes."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 BEARER = {'authorization': f'Bearer {operator_fakes.SECRET}'}
 IDEMPOTENT = fakes.rule(idempotent=True, attempts=2)
-PARTS = 'a1:100,b2:6000,c3:500'
+PROMPT_PARTS = 'a1:100,b2:6000,c3:500'
 
 
 class Subject:
-    """A router with its operators' interface."""
+    """A forwarding router with its operators' interface."""
 
     def __init__(self, steps, rules=(IDEMPOTENT,)):
         exchanges = fakes.Exchanges(e1=(), e2=())
@@ -32,14 +32,16 @@
             (forwarding.ForwardPool('chat'),),
             (forwarding.ForwardCustomer('corte', (fakes.KEY,), 1),),
         )
-        found = [
+        upstreams = [
             fakes.upstream('e1'),
             fakes.upstream('e2', zone='sala-b'),
             fakes.upstream('e3', leaving=True),
         ]
-        self.router = fakes.Router(fakes.snapshot(1, table, *found), exchanges)
-        self.kept = decisions.DecisionStore(10)
-        self.router.forwarder.decisions = self.kept
+        self.router = fakes.Router(
+            fakes.snapshot(1, table, *upstreams), exchanges
+        )
+        self.decisions = decisions.DecisionStore(10)
+        self.router.forwarder.decisions = self.decisions
         self.peers = peers.Peers(
             'router-1',
             '127.0.0.1',
@@ -60,7 +62,7 @@
             self.router.resolver,
             self.router.chooser,
             self.peers,
-            self.kept,
+            self.decisions,
         )
 
     async def call(self, method, path, body=None, headers=BEARER):
@@ -84,20 +86,20 @@
         'headers': {'Host': 'a.example'},
         **question,
     }
-    status, found = await subject.call('POST', '/v1/explain', document)
+    status, body = await subject.call('POST', '/v1/explain', document)
     assert status == 200
-    return found
+    return body
 
 
-async def test_decision_says_what_became_of_each_attempt(autojump_clock):
-    # An operator follows up a slow answer: the first upstream broke off, the
-    # second one answered. Both must be in the record, with why each was taken
-    # and what was passed over for it.
+async def test_decision_records_result_of_each_attempt(autojump_clock):
+    # A slow answer: the first upstream closed the connection and the second
+    # one answered. The decision must contain both attempts, with the reason of
+    # each choice and the upstreams that were passed over.
     subject = Subject([fakes.LOST_ANSWER, fakes.reply(delay=0.2)])
     await subject.router.send_request(x_request_id='slow-1')
-    status, found = await subject.call('GET', '/v1/decisions/slow-1')
+    status, body = await subject.call('GET', '/v1/decisions/slow-1')
     assert status == 200
-    first, second = found['attempts']
+    first, second = body['attempts']
     assert {first['upstream'], second['upstream']} == {'e1', 'e2'}
     assert first['result'] == 'UpstreamLost'
     assert first['first_byte'] is None
@@ -106,19 +108,19 @@
     assert second['passed_over'] == [
         {'upstream': first['upstream'], 'reason': 'had the request'}
     ]
-    assert (found['rule'], found['pool'], found['revision']) == (
+    assert (body['rule'], body['pool'], body['revision']) == (
         'chat',
         'chat',
         7,
     )
-    assert found['outcome'] == 'complete'
+    assert body['outcome'] == 'complete'
 
 
 async def test_decision_never_shows_a_credential(subject, autojump_clock):
     await subject.router.send_request(x_request_id='r-1', x_more='kept')
-    _, found = await subject.call('GET', '/v1/decisions/r-1')
-    assert fakes.KEY not in orjson.dumps(found).decode()
-    assert found['headers']['x-more'] == 'kept'
+    _, body = await subject.call('GET', '/v1/decisions/r-1')
+    assert fakes.KEY not in orjson.dumps(body).decode()
+    assert body['headers']['x-more'] == 'kept'
 
 
 @pytest.mark.parametrize(
@@ -129,47 +131,53 @@
         ({'key': 'wrong'}, 'not-run', 'not-authenticated'),
     ],
 )
-async def test_decisions_can_be_told_apart_by_outcome(
+async def test_decisions_are_filtered_by_outcome(
     subject, autojump_clock, fields, outcome, error
 ):
     await subject.router.send_request(x_request_id='r-1', **fields)
-    _, found = await subject.call('GET', f'/v1/decisions?outcome={outcome}')
-    assert [one['id'] for one in found] == ['r-1']
-    assert found[0]['error'] == error
+    _, body = await subject.call('GET', f'/v1/decisions?outcome={outcome}')
+    assert [decision['id'] for decision in body] == ['r-1']
+    assert body[0]['error'] == error
 
 
-async def test_lost_answer_of_a_request_that_may_run_once_is_unknown(
+async def test_lost_answer_of_non_idempotent_request_is_unknown(
     autojump_clock,
 ):
-    once = fakes.rule(attempts=2)
-    subject = Subject([fakes.LOST_ANSWER], (once,))
+    not_idempotent = fakes.rule(attempts=2)
+    subject = Subject([fakes.LOST_ANSWER], (not_idempotent,))
     await subject.router.send_request(x_request_id='r-1')
-    _, found = await subject.call('GET', '/v1/decisions/r-1')
-    assert found['outcome'] == 'unknown'
-    assert len(found['attempts']) == 1
+    _, body = await subject.call('GET', '/v1/decisions/r-1')
+    assert body['outcome'] == 'unknown'
+    assert len(body['attempts']) == 1
 
 
-async def test_explanation_names_the_upstream_that_is_then_taken(
+async def test_explanation_names_the_upstream_chosen_next(
     subject, autojump_clock
 ):
-    headers = {'host': 'a.example', 'x-prompt-parts': PARTS}
-    found = await explained(subject, headers=headers)
-    assert found['rule'] == 'chat'
-    assert found['revision'] == 7
-    await subject.router.send_request(x_prompt_parts=PARTS)
-    (taken, _), *_ = subject.router.exchanges.sent
-    assert found['verdict'].startswith(f'{taken} would be taken')
-    verdicts = {one['upstream']: one['verdict'] for one in found['candidates']}
+    headers = {'host': 'a.example', 'x-prompt-parts': PROMPT_PARTS}
+    body = await explained(subject, headers=headers)
+    assert body['rule'] == 'chat'
+    assert body['revision'] == 7
+    await subject.router.send_request(x_prompt_parts=PROMPT_PARTS)
+    (chosen, _), *_ = subject.router.exchanges.sent
+    assert body['verdict'].startswith(f'{chosen} would be taken')
+    verdicts = {
+        candidate['upstream']: candidate['verdict']
+        for candidate in body['candidates']
+    }
     assert verdicts['e3'] == 'leaving'
-    assert verdicts[taken] == 'would be taken: prompt cached'
+    assert verdicts[chosen] == 'would be taken: prompt cached'
 
 
-async def test_explanation_says_why_an_upstream_is_passed_over(
+async def test_explanation_gives_reason_for_upstream_passed_over(
     subject, autojump_clock
 ):
     subject.router.health.note_unreachable('e1')
-    found = await explained(subject)
-    verdicts = {one['upstream']: one['verdict'] for one in found['candidates']}
+    body = await explained(subject)
+    verdicts = {
+        candidate['upstream']: candidate['verdict']
+        for candidate in body['candidates']
+    }
     assert verdicts['e1'] == 'failed lately'
     assert verdicts['e2'] == 'would be taken: least loaded'
 
@@ -182,22 +190,22 @@
         ({'customer': 'nobody'}, 'the caller gets 401'),
     ],
 )
-async def test_explanation_of_a_refusal_says_what_the_caller_gets(
+async def test_explanation_of_a_refusal_contains_the_status(
     subject, autojump_clock, question, verdict
 ):
-    found = await explained(subject, **question)
-    assert verdict in found['verdict']
-    assert found['candidates'] == []
+    body = await explained(subject, **question)
+    assert verdict in body['verdict']
+    assert body['candidates'] == []
 
 
-async def test_explanation_of_a_stale_router_says_so(subject, autojump_clock):
-    follow = subject.router.snapshots.settings
-    subject.router.snapshots.settings = type(follow)(
+async def test_explanation_reports_stale_configuration(subject, autojump_clock):
+    snapshot_settings = subject.router.snapshots.settings
+    subject.router.snapshots.settings = type(snapshot_settings)(
         revocation_seconds=5.0, apply_seconds=2.0
     )
     subject.router.clock.suspended = 60.0
-    found = await explained(subject)
-    assert 'not confirmed lately' in found['verdict']
+    body = await explained(subject)
+    assert 'not confirmed lately' in body['verdict']
 
 
 async def test_status_lists_upstreams_and_rules(subject, autojump_clock):
@@ -207,26 +215,28 @@
     members.note_host('sala-b', '127.0.0.4', 30.0)
     subject.peers.gossip()
     subject.router.health.note_unreachable('e2')
-    status, found = await subject.call('GET', '/v1/status')
+    status, body = await subject.call('GET', '/v1/status')
     assert status == 200
-    assert found['revision'] == {'number': 7}
-    assert found['cut_off_seconds'] is None
-    assert [(one['id'], one['state']) for one in found['routers']] == [
+    assert body['revision'] == {'number': 7}
+    assert body['cut_off_seconds'] is None
+    assert [(router['id'], router['state']) for router in body['routers']] == [
         ('127.0.0.2', 'silent'),
         ('127.0.0.3', 'alive'),
         ('127.0.0.4', 'silent'),
     ]
-    assert found['fleet'] == {
+    assert body['fleet'] == {
         'routers': 2,
         'zones': {fakes.ZONE: 2},
         'budget_parts': 0,
     }
-    (pool,) = found['pools']
-    standing = {one['id']: one['standing'] for one in pool['upstreams']}
+    (pool,) = body['pools']
+    standing = {
+        upstream['id']: upstream['standing'] for upstream in pool['upstreams']
+    }
     assert standing['e1'] == 'candidate'
     assert standing['e2'].startswith('avoided')
     assert standing['e3'] == 'leaving'
-    assert found['rules'][0]['hits'] == 1
+    assert body['rules'][0]['hits'] == 1
 
 
 @pytest.mark.parametrize(
@@ -237,16 +247,16 @@
         ('POST', '/v1/rules/diff'),
     ],
 )
-async def test_rules_are_changed_elsewhere(
+async def test_calls_of_rules_are_refused_naming_the_store(
     subject, autojump_clock, method, path
 ):
-    # an operator who tries to change the rules here must hear where they are
-    # kept, rather than that there is no such page
-    status, found = await subject.call(method, path)
+    # The refusal must name the place where the rules are changed; a 404 would
+    # not help an operator.
+    status, body = await subject.call(method, path)
     assert status == 409
-    assert "platform's store" in found['detail']
+    assert "platform's store" in body['detail']
 
 
-async def test_nothing_is_shown_without_the_credential(subject, autojump_clock):
+async def test_status_without_credential_is_refused(subject, autojump_clock):
     status, _ = await subject.call('GET', '/v1/status', headers={})
     assert status == 401
--- a/tests/test_transport/test_key_value_etcd.py
+++ b/tests/test_transport/test_key_value_etcd.py
@@ -29,8 +29,8 @@
 async def test_create_read_replace_delete(store):
     assert await store.create('a/1', b'\x00one')
     assert not await store.create('a/1', b'two')
-    found = await store.read('a/', 'a0')
-    item = found.items[0]
+    answer = await store.read('a/', 'a0')
+    item = answer.items[0]
     assert (item.key, item.value) == ('a/1', b'\x00one')
     assert await store.replace('a/1', b'two', item.mod_revision)
     assert not await store.replace('a/1', b'three', item.mod_revision)
@@ -54,21 +54,21 @@
     assert await store.renew_lease(lease) == 0.0
 
 
-async def test_watch_gives_each_change_once_from_its_revision(store):
+async def test_watch_yields_each_change_once_from_its_revision(store):
     await store.create('w/1', b'1')
     start = (await store.read('w/1')).items[0].mod_revision
     await store.create('w/2', b'2')
-    seen = []
+    received = []
     with trio.fail_after(5):
         watch = store.watch('w/', 'w0', start)
         async with contextlib.aclosing(watch):
             async for changes in watch:
-                seen += [(c.item.key, c.deleted) for c in changes]
-                if len(seen) == 2:
+                received += [(c.item.key, c.deleted) for c in changes]
+                if len(received) == 2:
                     await store.delete('w/1')
-                if len(seen) == 3:
+                if len(received) == 3:
                     break
-    assert seen == [('w/1', False), ('w/2', False), ('w/1', True)]
+    assert received == [('w/1', False), ('w/2', False), ('w/1', True)]
 
 
 async def test_watch_ends_when_its_revision_is_compacted(store, memory):
@@ -80,9 +80,9 @@
 
 
 async def test_lost_answer_is_uncertain(store, memory):
-    """A write takes effect, its answer does not come.
+    """A write takes effect but its answer is lost.
 
-    Told 'not written', a caller would write again elsewhere.
+    With a definite error the caller would write again elsewhere.
     """
     memory.fault(lost_answers=1.0, give_up=0.0)
     with pytest.raises(errors.KeyValueUncertain):
@@ -91,13 +91,13 @@
     assert (await store.read('a')).items[0].value == b'1'
 
 
-async def test_refused_call_is_known_not_to_have_taken_effect(store, memory):
+async def test_refused_call_is_unavailable_not_uncertain(store, memory):
     memory.fault(outage=True)
     with pytest.raises(errors.KeyValueUnavailable):
         await store.create('a', b'1')
 
 
-async def test_nobody_listening_is_unavailable():
+async def test_refused_connection_is_unavailable():
     sock = trio.socket.socket()
     await sock.bind(('127.0.0.1', 0))
     port = sock.getsockname()[1]
--- a/tests/test_transport/test_operators_client.py
+++ b/tests/test_transport/test_operators_client.py
@@ -11,45 +11,45 @@
 
 @pytest.fixture
 async def router(nursery):
-    """An operators' interface on a socket, and a client of it."""
-    parts = operator_fakes.make()
-    port = await nursery.start(parts.operators.serve, '127.0.0.1', 0)
+    """Serves an operators' interface on a socket; returns it and a client."""
+    fakes = operator_fakes.make()
+    port = await nursery.start(fakes.operators.serve, '127.0.0.1', 0)
     client = operator_client.OperatorClient(
         f'http://127.0.0.1:{port}', operator_fakes.SECRET
     )
     async with client:
-        yield parts, client
+        yield fakes, client
 
 
 async def test_live_stream_over_a_socket(router):
-    parts, client = router
-    found = []
+    fakes, client = router
+    received = []
 
     async def watch():
         query = {'customer': 'clinica'}
         async for decision in client.follow('/v1/decisions', query):
-            found.append(decision['id'])
-            if len(found) == 2:
+            received.append(decision['id'])
+            if len(received) == 2:
                 return
 
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(watch)
             number = 0
-            while len(found) < 2:
-                # until the stream is open, decisions are not in it
+            while len(received) < 2:
+                # decisions added before the stream is open are not sent
                 number += 1
-                parts.decisions.add(
+                fakes.decisions.add(
                     operator_fakes.decision(number, customer='corte')
                 )
-                parts.decisions.add(operator_fakes.decision(1000 + number))
+                fakes.decisions.add(operator_fakes.decision(1000 + number))
                 await trio.sleep(0.05)
 
-    assert all(int(text.partition('-')[2]) > 1000 for text in found)
-    assert found == sorted(found)
+    assert all(int(text.partition('-')[2]) > 1000 for text in received)
+    assert received == sorted(received)
 
 
-async def test_refusal_has_status_kind_and_faults(router):
+async def test_refusal_contains_status_kind_and_faults(router):
     _, client = router
 
     with pytest.raises(errors.OperatorRefused) as caught:
@@ -61,7 +61,7 @@
     assert 'line 1: rules: 5 is no list; allowed: a list' in str(caught.value)
 
 
-async def test_nobody_there():
+async def test_refused_connection_is_a_typed_error():
     client = operator_client.OperatorClient('http://127.0.0.1:1', 'x')
 
     async with client:
@@ -70,9 +70,9 @@
 
 
 @pytest.mark.parametrize('body', [b'', b'<html>', b'[]', b'{"type": 5}'])
-async def test_an_answer_of_something_else_is_a_typed_error(body):
-    # story: an operator gives the callers' address, or that of some other
-    # server, and gets whatever that one says.
+async def test_error_answer_of_another_server_is_a_typed_error(body):
+    # The configured address is that of the callers' interface or of another
+    # server, whose error answers are no problem details.
     transport = httpx.MockTransport(
         lambda request: httpx.Response(500, content=body)
     )
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize('body', [b'', b'<html>'])
-async def test_a_good_answer_that_is_no_json_is_a_typed_error(body):
+async def test_successful_answer_without_json_is_a_typed_error(body):
     transport = httpx.MockTransport(
         lambda request: httpx.Response(200, content=body)
     )
--- a/tests/test_transport/test_operators_race.py
+++ b/tests/test_transport/test_operators_race.py
@@ -21,15 +21,15 @@
 
 @attrs.define
 class Race:
-    """The interface, the revision each operator saw and last answers."""
+    """The interface, and per operator the revision seen and last answer."""
 
-    parts: operator_fakes.Parts
+    fakes: operator_fakes.OperatorFakes
     seen: dict[str, int] = attrs.field(factory=dict)
     answers: dict[str, tuple[int, dict]] = attrs.field(factory=dict)
 
     def call(self, method, path, body=b''):
         async def run():
-            client = self.parts.operators.app.test_client()
+            client = self.fakes.operators.app.test_client()
             response = await client.open(
                 path,
                 method=method,
@@ -48,11 +48,11 @@
 
 @pytest.fixture
 def race():
-    parts = operator_fakes.make(accept_rules=False)
+    fakes = operator_fakes.make(accept_rules=False)
     log = configuration_log.ConfigurationLog(key_value.MemoryStore())
-    parts.operators.configuration_log = log
-    parts.configurations.chain = log.chain
-    return Race(parts)
+    fakes.operators.configuration_log = log
+    fakes.configurations.chain = log.chain
+    return Race(fakes)
 
 
 @given('the rules are in force as revision 1')
@@ -81,19 +81,19 @@
 
 @then(parsers.parse('{name} has revision {number:d} accepted'))
 def accepted(race, name, number):
-    status, found = race.answers[name]
+    status, answer = race.answers[name]
 
     assert status == 200
-    assert found['number'] == number
-    assert found['author'] == name
+    assert answer['number'] == number
+    assert answer['author'] == name
 
 
 @then(parsers.parse('{name} gets a conflict that names "{line}"'))
 def conflict(race, name, line):
-    status, found = race.answers[name]
+    status, answer = race.answers[name]
 
     assert status == 409
-    assert found['difference'] == [line]
+    assert answer['difference'] == [line]
 
 
 @then(parsers.parse('alerts have {timeout}'))
--- a/tests/test_transport/test_peer_datagrams.py
+++ b/tests/test_transport/test_peer_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams and snapshots between forwarding routers, over sockets."""
+"""UDP messages and snapshots between forwarding routers, over sockets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         self.messages = []
         self.first = trio.Event()
 
-    def take(self, message):
+    def receive(self, message):
         self.messages.append(message)
         self.first.set()
 
 
 @pytest.fixture
 async def links(nursery):
-    """Two links on two loopback addresses and one port."""
+    """Two links on two loopback addresses, with the same port."""
     content = fakes.snapshot(3, fakes.table(1), fakes.upstream('e1'))
     first = peer_datagrams.PeerDatagrams('127.0.0.1', 0, lambda: content)
     probe = trio.socket.socket(type=trio.socket.SOCK_STREAM)
@@ -44,26 +44,26 @@
 
 async def test_message_arrives(links):
     first, second = links
-    got = Received()
-    second.receiver = got.take
+    received = Received()
+    second.receiver = received.receive
     first.send('127.0.0.2', NOTICE)
     with trio.fail_after(2.0):
-        await got.first.wait()
-    assert got.messages == [NOTICE]
+        await received.first.wait()
+    assert received.messages == [NOTICE]
 
 
-async def test_bytes_that_are_no_message_are_passed_over(links):
+async def test_undecodable_datagram_is_ignored(links):
     first, second = links
-    got = Received()
-    second.receiver = got.take
+    received = Received()
+    second.receiver = received.receive
     first.socket._sock.sendto(b'\xff\xfe', ('127.0.0.2', first.port))
     first.send('127.0.0.2', NOTICE)
     with trio.fail_after(2.0):
-        await got.first.wait()
-    assert got.messages == [NOTICE]
+        await received.first.wait()
+    assert received.messages == [NOTICE]
 
 
-async def test_message_to_nobody_is_no_error(links):
+async def test_message_to_closed_port_is_no_error(links):
     first, _ = links
     first.send('127.0.0.9', NOTICE)
     await trio.sleep(0.05)
@@ -77,18 +77,18 @@
 
 
 async def test_only_what_changed_is_sent(links):
-    # A configuration of hundreds of routes lies beside entries of upstreams
-    # that change every second; on a link of 5 Mbit/s it takes a sixth of a
-    # second.
-    known = forwarding.RawSnapshot(
+    # Upstream entries change every second beside a configuration of hundreds
+    # of routes that rarely changes. Sending that again would take a sixth of
+    # a second on a link of 5 Mbit/s.
+    base = forwarding.RawSnapshot(
         7, {'a': forwarding.RawItem(3, b'x'), 'b': forwarding.RawItem(5, b'y')}
     )
     newer = forwarding.RawSnapshot(
         9, {'a': forwarding.RawItem(3, b'x'), 'c': forwarding.RawItem(9, b'z')}
     )
-    content = peer_datagrams.changes_since(newer, known.revision)
+    content = peer_datagrams.changes_since(newer, base.revision)
     assert [change[0] for change in content.changed] == ['c']
-    assert peer_datagrams.apply_changes(known, content) == newer
+    assert peer_datagrams.apply_changes(base, content) == newer
     with pytest.raises(errors.CodecError):
         peer_datagrams.apply_changes(None, content)
 
@@ -99,7 +99,7 @@
         await first.fetch('127.0.0.2', None)
 
 
-async def test_router_that_is_gone_is_a_typed_failure(links):
+async def test_unreachable_router_is_a_typed_failure(links):
     first, _ = links
     with pytest.raises(errors.PeerUnreachable):
         await first.fetch('127.0.0.9', None)
@@ -135,15 +135,15 @@
         [104, 'r', 1, 'h', 'z', False, False, 'now', 0, None, 0.0, None, 1, 1],
     ],
 )
-async def test_message_with_other_fields_is_passed_over(links, values):
-    # A router of another version, or another program, sends what reads as a
-    # message of ours but for its fields. It ended the router that took it in.
+async def test_message_with_wrong_fields_is_ignored(links, values):
+    # A router of another version, or another program, sends a message with a
+    # known tag but wrong fields. Receiving it must not end the router.
     first, second = links
-    got = Received()
-    second.receiver = got.take
+    received = Received()
+    second.receiver = received.receive
     data = msgpack.packb(values)
     first.socket._sock.sendto(data, ('127.0.0.2', first.port))
     first.send('127.0.0.2', NOTICE)
     with trio.fail_after(2.0):
-        await got.first.wait()
-    assert got.messages == [NOTICE]
+        await received.first.wait()
+    assert received.messages == [NOTICE]
--- a/tests/test_transport/test_peer_fuzz.py
+++ b/tests/test_transport/test_peer_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever a peer sends, the only answer is a codec error."""
+"""Whatever bytes a peer sends, decoding raises only codec errors."""
 
 from __future__ import annotations
 
@@ -62,8 +62,8 @@
 
 @hypothesis.settings(deadline=None, derandomize=True, max_examples=300)
 @hypothesis.given(strategies.lists(MESSAGES | VALUES, max_size=4))
-def test_any_updates_are_taken_or_a_codec_error(updates):
-    async def take():
+def test_any_updates_are_merged_or_a_codec_error(updates):
+    async def merge():
         async with trio.open_nursery() as nursery:
             net = network.MemoryNetwork(nursery, random.Random(1))
             member = membership.FleetMembership(
@@ -80,7 +80,7 @@
             assert member.routers()
             member.candidates.refresh()
 
-    trio.run(take, clock=trio.testing.MockClock())
+    trio.run(merge, clock=trio.testing.MockClock())
 
 
 def test_deeply_nested_value_is_a_codec_error():
--- a/tests/test_transport/test_peer_links.py
+++ b/tests/test_transport/test_peer_links.py
@@ -67,7 +67,7 @@
     assert first.connections == second.connections == 1
 
 
-async def test_request_to_itself_calls_the_handler(pair):
+async def test_request_to_own_router_calls_the_handler(pair):
     first, _ = pair
 
     answer = await first.request('r1', messages.Ping(['x']), 5)
@@ -76,7 +76,7 @@
     assert first.messages_sent == 0
 
 
-async def test_error_of_a_handler_comes_back_typed(pair):
+async def test_handler_error_is_returned_typed(pair):
     first, second = pair
     second.handle(messages.Ping, refuse_ping)
 
@@ -89,12 +89,12 @@
 
 async def test_notices_arrive_in_order(pair):
     first, second = pair
-    seen = []
+    received = []
     done = trio.Event()
 
     async def note(peer_id, item):
-        seen.append(item.updates[0])
-        if len(seen) == 1000:
+        received.append(item.updates[0])
+        if len(received) == 1000:
             done.set()
 
     second.handle(messages.Updates, note)
@@ -103,13 +103,13 @@
     with trio.fail_after(10):
         await done.wait()
 
-    assert seen == list(range(1000))
+    assert received == list(range(1000))
 
 
-async def test_peer_that_is_not_there_fails_at_once(pair):
-    # a router's process has ended and its port refuses connections. The
-    # entry must learn that within milliseconds, not when its request times
-    # out, so that it can ask another router.
+async def test_refused_connection_fails_at_once(pair):
+    # A router's process has ended and its port refuses connections. The entry
+    # router's request must fail within milliseconds, not after its timeout, so
+    # that it can try another router.
     first, _ = pair
     first.set_peers({'r9': ('127.0.0.1', 1)})
 
@@ -125,10 +125,10 @@
         await first.request('nobody', messages.Ping(), 1)
 
 
-async def test_both_dialing_at_once_lose_nothing(nursery, cls):
-    # two routers dial each other in the same moment, so for a while there
-    # are two connections, and each side closes one. If they chose unlike,
-    # or closed it with requests still on it, requests would get lost.
+async def test_simultaneous_dials_lose_no_request(nursery, cls):
+    # Two routers dial each other at the same time, so for a while there are
+    # two connections and each side closes one. If they chose different ones,
+    # or closed one with requests in flight, requests would be lost.
     for _ in range(5):
         async with trio.open_nursery() as inner:
             first = await make(inner, 'r1', cls=cls)
@@ -136,14 +136,14 @@
             introduce(first, second)
             answers = []
 
-            async def ask(link, peer_id, number, answers=answers):
+            async def send_requests(link, peer_id, number, answers=answers):
                 item = messages.Ping([number])
                 answers.append(await link.request(peer_id, item, 30))
 
-            async with trio.open_nursery() as asking:
+            async with trio.open_nursery() as sending:
                 for number in range(200):
-                    asking.start_soon(ask, first, 'r2', number)
-                    asking.start_soon(ask, second, 'r1', number)
+                    sending.start_soon(send_requests, first, 'r2', number)
+                    sending.start_soon(send_requests, second, 'r1', number)
             assert len(answers) == 400
             with trio.fail_after(10):
                 await first.wait_connections(1)
@@ -152,9 +152,8 @@
 
 
 async def test_closing_connections_lose_no_request(pair):
-    # connections close when they are idle or old, on one side, in the very
-    # moment in which the other sends a request. The request, or its answer,
-    # must go on by the next connection.
+    # One side closes an idle or old connection just as the other side sends a
+    # request. The request, or its answer, must use the next connection.
     first, second = pair
     answers = []
 
@@ -165,7 +164,7 @@
     first.handle(messages.Ping, slow)
     second.handle(messages.Ping, slow)
 
-    async def ask(link, peer_id, numbers):
+    async def send_requests(link, peer_id, numbers):
         for number in numbers:
             item = messages.Ping([number])
             answer = await link.request(peer_id, item, 30)
@@ -183,17 +182,17 @@
         nursery.start_soon(close)
         for worker in range(8):
             numbers = range(worker, 400, 8)
-            nursery.start_soon(ask, first, 'r2', numbers)
-            nursery.start_soon(ask, second, 'r1', numbers)
+            nursery.start_soon(send_requests, first, 'r2', numbers)
+            nursery.start_soon(send_requests, second, 'r1', numbers)
 
     assert sorted(answers) == sorted([*range(400), *range(400)])
     assert first.dropped == {}
 
 
-async def test_answer_never_reaches_a_successor_of_its_asker(nursery):
-    # a router's process asks, dies, and another starts under its id, whose
-    # first request has the same number. The late answer to the first one's
-    # request must not be taken for the answer to the second's.
+async def test_answer_is_not_sent_to_a_successor_process(nursery):
+    # A router's process sends a request and ends. Its successor has the same
+    # router id, and its first request has the same number. The late answer to
+    # the first request must not be taken for the answer to the second.
     release = trio.Event()
 
     async def hold(peer_id, item):
@@ -208,7 +207,7 @@
     second.handle(messages.Ping, hold)
     answers = []
 
-    async def live(updates):
+    async def run_process(updates):
         async with trio.open_nursery() as inner:
             link = await make(inner, 'r1')
             introduce(link, second)
@@ -217,25 +216,25 @@
                 answers.append(await link.request('r2', item, 30))
             inner.cancel_scope.cancel()
 
-    await live(['old'])
-    await live(['new'])
+    await run_process(['old'])
+    await run_process(['new'])
 
     assert answers == [messages.Ack(['new'])]
 
 
-async def test_garbage_is_dropped_and_the_link_goes_on(frames):
-    # a port scanner or an HTTP probe speaks to the peer port. Its bytes look
-    # like a huge frame; the connection is closed, counted, and real peers
-    # are served on.
+async def test_invalid_bytes_close_only_their_connection(frames):
+    # A port scanner or an HTTP probe connects to the peer port; its bytes
+    # decode as a huge frame. The connection must be closed and counted, and
+    # other peers must still be served.
     first, second = frames
-    for garbage in (
+    for data in (
         b'GET / HTTP/1.1\r\n\r\n',
         b'\x00\x00\x00\x02\xc1\xc1',
         b'\x00\x00\x00\x03\x92\x00\x90',
         b'\x00\x00\x00\x00',
     ):
         stream = await trio.open_tcp_stream('127.0.0.1', second.port)
-        await stream.send_all(garbage)
+        await stream.send_all(data)
         with trio.fail_after(10):
             assert await stream.receive_some(100) == b''
         await stream.aclose()
@@ -244,7 +243,7 @@
     await first.request('r2', messages.Ping(), 5)
 
 
-async def test_garbage_after_the_hello_is_dropped(frames):
+async def test_invalid_bytes_after_the_hello_are_dropped(frames):
     first, second = frames
     stream = await trio.open_tcp_stream('127.0.0.1', second.port)
     wire = peer_frames.FrameWire(
@@ -261,24 +260,24 @@
     await first.request('r2', messages.Ping(), 5)
 
 
-async def test_wrong_router_at_an_address_gets_nothing(pair):
-    # an address is used again: the VM list still names r3 where r2 now
-    # listens. A request meant for r3 must not be acted on by r2.
+async def test_wrong_router_at_an_address_gets_no_request(pair):
+    # An address is reused: the VM list still has r3 at the address where r2
+    # now listens. A request for r3 must not be handled by r2.
     first, second = pair
-    seen = []
-    second.handle(messages.Ping, seen.append)
+    handled = []
+    second.handle(messages.Ping, handled.append)
     first.set_peers({'r3': ('127.0.0.1', second.port)})
 
     with pytest.raises(errors.PeerUnreachable, match='r2 answers'):
         await first.request('r3', messages.Ping(), 5)
 
-    assert seen == []
+    assert handled == []
 
 
-async def test_silent_peer_is_noticed(nursery):
-    # a firewall begins to drop the packets of an open connection, so that
-    # nothing comes any more and no error either. After some timeouts the
-    # connection is closed and the next request dials a new one.
+async def test_connection_to_silent_peer_is_closed(nursery):
+    # A firewall starts to drop the packets of an open connection, so nothing
+    # is received and no error is raised. After some timeouts the connection
+    # must be closed, so that the next request dials a new one.
     limits = peer_limits.LinkLimits(
         max_timeouts=2, silence_seconds=0.1, dial_timeout=0.2
     )
@@ -329,7 +328,7 @@
         await first.request('r2', item, 5)
 
 
-async def test_close_says_goodbye(pair):
+async def test_close_sends_goodbye(pair):
     first, second = pair
     await first.request('r2', messages.Ping(), 5)
 
@@ -340,9 +339,9 @@
         await second.wait_connections(0)
 
 
-async def test_lost_connection_ends_the_requests_on_it(pair):
-    # a peer dies while requests wait for it: they end at once and typed,
-    # not by their timeouts.
+async def test_lost_connection_fails_its_requests(pair):
+    # A peer crashes while requests wait for its answers. They must fail at
+    # once with a typed error, not after their timeouts.
     first, second = pair
     arrived = trio.Event()
 
@@ -364,7 +363,7 @@
                 await first.request('r2', messages.Ping(), 3600)
 
 
-def test_hello_of_an_older_peer_is_read():
+def test_hello_without_instance_is_decoded():
     values = peer.to_wire(messages.Hello('r1', 1, 5))[:-1]
 
     assert peer.from_wire(values) == attrs.evolve(
--- a/tests/test_transport/test_vm_lists.py
+++ b/tests/test_transport/test_vm_lists.py
@@ -34,7 +34,7 @@
     assert await vm_list_http.HttpVmList(url).fetch() == (ENGINE,)
 
 
-async def test_unchanged_list_costs_no_body(served):
+async def test_unchanged_list_is_not_sent_again(served):
     standin, url = served
     reader = vm_list_http.HttpVmList(url)
     first = await reader.fetch()
@@ -48,7 +48,7 @@
     assert read[0].state is upstreams.VmState.LEAVING
 
 
-async def test_changes_show_after_the_lag(autojump_clock):
+async def test_changes_are_visible_after_the_lag(autojump_clock):
     standin = vm_list.VmListStandIn([ENGINE], lag=10.0)
     standin.remove('engine-1')
 
@@ -58,12 +58,12 @@
     assert standin.vms() == ()
 
 
-async def test_operators_of_the_stand_in_change_it_over_http(served):
+async def test_stand_in_list_is_changed_over_http(served):
     _, url = served
-    line = vm_list_http.vm_to_json(attrs.evolve(ENGINE, id='engine-2'))
+    entry = vm_list_http.vm_to_json(attrs.evolve(ENGINE, id='engine-2'))
     async with httpx.AsyncClient() as client:
         assert (
-            await client.put(f'{url}/engine-2', json=line)
+            await client.put(f'{url}/engine-2', json=entry)
         ).status_code == 204
         assert (
             await client.put(f'{url}/engine-3', json={'port': 1})
@@ -75,16 +75,16 @@
     assert [vm.id for vm in read] == ['engine-2']
 
 
-async def test_list_that_is_down_is_an_error_of_the_system(served):
+async def test_unavailable_list_is_an_os_error(served):
     standin, url = served
     standin.down = True
     reader = vm_list_http.HttpVmList(url)
     with pytest.raises(OSError, match='503'):
         await reader.fetch()
 
-    unreached = vm_list_http.HttpVmList('http://127.0.0.1:1/vms')
+    unreachable = vm_list_http.HttpVmList('http://127.0.0.1:1/vms')
     with pytest.raises(OSError, match='ConnectError'):
-        await unreached.fetch()
+        await unreachable.fetch()
 
 
 @pytest.mark.parametrize(
@@ -100,15 +100,15 @@
         {'host': None},
     ],
 )
-async def test_wrong_lines_are_refused(change):
-    line = {**vm_list_http.vm_to_json(ENGINE), **change}
+async def test_invalid_entries_are_refused(change):
+    entry = {**vm_list_http.vm_to_json(ENGINE), **change}
 
     with pytest.raises((TypeError, ValueError)):
-        vm_list_http.vm_from_json(line)
+        vm_list_http.vm_from_json(entry)
 
 
 @pytest.mark.parametrize('body', [b'', b'[]', b'{"vms": 3}', b'{"vms": [3]}'])
-async def test_a_body_that_is_no_list_is_an_error_of_the_system(body):
+async def test_invalid_body_is_an_os_error(body):
     transport = httpx.MockTransport(lambda _: httpx.Response(200, content=body))
     reader = vm_list_http.HttpVmList('http://list/vms')
     reader.client = httpx.AsyncClient(transport=transport)
