--- a/lavenderbend/transport/operator_client.py
+++ b/lavenderbend/transport/operator_client.py
@@ -95,7 +95,7 @@
             raise errors.OperatorRefused(
                 response.status_code,
                 'no-json',
-                f'{self.url} did not answer with JSON, as a router does',
+                f'{self.url} does not answer as a router does',
             ) from exc
 
     async def follow(
--- a/lavenderbend/transport/operator_rules.py
+++ b/lavenderbend/transport/operator_rules.py
@@ -87,9 +87,7 @@
     text = await quart.request.get_data()
     document = await parse(text)
     if 'seen' not in args:
-        raise errors.RequestInvalid(
-            'seen must be the number of the revision that was edited'
-        )
+        raise errors.RequestInvalid('seen must give the revision seen')
     seen = operator_routes.integer('seen', 0)
     wait = operator_routes.seconds(
         'wait', IN_FORCE_TIMEOUT_SECONDS, MAX_IN_FORCE_TIMEOUT_SECONDS
--- a/lavenderbend/transport/operator_status.py
+++ b/lavenderbend/transport/operator_status.py
@@ -60,10 +60,7 @@
 
 
 def cut_off_seconds(app: operators.OperatorApp) -> float | None:
-    """Returns the seconds since the revision was last confirmed.
-
-    None while the router is not cut off.
-    """
+    """Returns for how many seconds the revision is unconfirmed, or None."""
     since = app.configurations.stale_since
     return None if since is None else trio.current_time() - since
 
--- a/lavenderbend/transport/peer_wires.py
+++ b/lavenderbend/transport/peer_wires.py
@@ -67,7 +67,7 @@
         dialing: Whether a connection is being opened.
         dial_after: Router clock before which no connection is opened.
         instance: Identifies the process of the peer connected last.
-        not_empty: Set while there are messages.
+        not_empty: Set while there are messages; also set to wake the writer.
     """
 
     def __init__(self, peer_id: str) -> None:
