--- a/tests/test_transport/test_operators.py
+++ b/tests/test_transport/test_operators.py
@@ -31,7 +31,7 @@
     )
 
 
-async def json_of(fakes, method, path, body=b''):
+async def call_json(fakes, method, path, body=b''):
     response = await call(fakes, method, path, body)
     return response.status_code, orjson.loads(await response.get_data())
 
@@ -99,7 +99,7 @@
 async def test_status_contains_routers_upstreams_and_hits(fakes):
     fakes.rules.hits['chats'] = 7
 
-    status, answer = await json_of(fakes, 'GET', '/v1/status')
+    status, answer = await call_json(fakes, 'GET', '/v1/status')
 
     assert status == 200
     assert [r['id'] for r in answer['routers']] == ['router-1', 'router-2']
@@ -116,7 +116,7 @@
 async def test_status_before_any_configuration():
     fakes = operator_fakes.make(accept_rules=False)
 
-    status, answer = await json_of(fakes, 'GET', '/v1/status')
+    status, answer = await call_json(fakes, 'GET', '/v1/status')
     page = await call(fakes, 'GET', '/')
 
     assert status == 200
@@ -128,7 +128,7 @@
     fakes.configurations.stale_since = trio.current_time()
     await trio.sleep(90)
 
-    _, answer = await json_of(fakes, 'GET', '/v1/status')
+    _, answer = await call_json(fakes, 'GET', '/v1/status')
     page = await (await call(fakes, 'GET', '/')).get_data(as_text=True)
 
     assert answer['cut_off_seconds'] == 90
@@ -141,7 +141,9 @@
         rule = 'chats' if number % 2 else 'alerts'
         fakes.decisions.add(operator_fakes.decision(number, rule=rule))
 
-    _, answer = await json_of(fakes, 'GET', '/v1/decisions?rule=alerts&limit=2')
+    _, answer = await call_json(
+        fakes, 'GET', '/v1/decisions?rule=alerts&limit=2'
+    )
 
     assert [d['id'] for d in answer] == ['decision-4', 'decision-2']
 
@@ -149,14 +151,14 @@
 async def test_decision_contains_passed_over_candidates(fakes):
     fakes.decisions.add(operator_fakes.decision(1))
 
-    _, answer = await json_of(fakes, 'GET', '/v1/decisions/decision-1')
+    _, answer = await call_json(fakes, 'GET', '/v1/decisions/decision-1')
 
     passed = answer['attempts'][0]['passed_over']
     assert passed == [{'upstream': 'engine-2', 'reason': 'over bound'}]
 
 
 async def test_unknown_decision_is_404(fakes):
-    status, answer = await json_of(fakes, 'GET', '/v1/decisions/none')
+    status, answer = await call_json(fakes, 'GET', '/v1/decisions/none')
 
     assert status == 404
     assert answer['type'].endswith('decision-unknown')
@@ -164,7 +166,7 @@
 
 @pytest.mark.parametrize('query', ['limit=x', 'limit=-1', 'limit=1e3'])
 async def test_wrong_query_is_a_typed_400(fakes, query):
-    status, answer = await json_of(fakes, 'GET', f'/v1/decisions?{query}')
+    status, answer = await call_json(fakes, 'GET', f'/v1/decisions?{query}')
 
     assert status == 400
     assert answer['type'].endswith('request-invalid')
@@ -174,7 +176,7 @@
     body = {'model': 'assistant', 'messages': [{'role': 'user'}]}
     question = {'customer': 'clinica', 'body': body, 'chat_key': 'c1'}
 
-    _, answer = await json_of(
+    _, answer = await call_json(
         fakes, 'POST', '/v1/explain', orjson.dumps(question)
     )
 
@@ -193,7 +195,7 @@
     'body', [b'', b'[]', b'{"customer": 1}', b'{"x": 1}', b'{"customer": "c"']
 )
 async def test_wrong_question_is_a_typed_422(fakes, body):
-    status, answer = await json_of(fakes, 'POST', '/v1/explain', body)
+    status, answer = await call_json(fakes, 'POST', '/v1/explain', body)
 
     assert status == 422
     assert answer['faults']
@@ -203,7 +205,7 @@
     text = operator_fakes.RULES.replace('timeout: 2s', 'timeout: 3s')
     path = '/v1/rules/apply?seen=1&author=eva&reason=slow'
 
-    status, answer = await json_of(fakes, 'POST', path, text.encode())
+    status, answer = await call_json(fakes, 'POST', path, text.encode())
 
     assert status == 200
     assert (answer['number'], answer['author']) == (2, 'eva')
@@ -213,7 +215,7 @@
 async def test_apply_lists_routers_without_the_revision(fakes):
     fakes.configurations.missing = ('router-2',)
 
-    _, answer = await json_of(
+    _, answer = await call_json(
         fakes,
         'POST',
         '/v1/rules/apply?seen=1',
@@ -228,9 +230,9 @@
     # Two operators edit revision 1. The change accepted second must not
     # silently undo the first; the response must list what the first changed.
     text = operator_fakes.RULES.encode()
-    await json_of(fakes, 'POST', '/v1/rules/apply?seen=1', text)
+    await call_json(fakes, 'POST', '/v1/rules/apply?seen=1', text)
 
-    status, answer = await json_of(
+    status, answer = await call_json(
         fakes, 'POST', '/v1/rules/apply?seen=1', text
     )
 
@@ -242,7 +244,7 @@
 async def test_apply_of_a_wrong_document_accepts_nothing(fakes):
     text = operator_fakes.RULES.replace('pool: mailbox', 'pool: mailbx')
 
-    status, answer = await json_of(
+    status, answer = await call_json(
         fakes, 'POST', '/v1/rules/apply?seen=1', text.encode()
     )
 
@@ -252,7 +254,7 @@
 
 
 async def test_apply_needs_the_revision_seen(fakes):
-    status, _ = await json_of(
+    status, _ = await call_json(
         fakes, 'POST', '/v1/rules/apply', operator_fakes.RULES.encode()
     )
 
@@ -260,7 +262,7 @@
 
 
 async def test_shown_rules_can_be_applied_again(fakes):
-    _, answer = await json_of(fakes, 'GET', '/v1/rules')
+    _, answer = await call_json(fakes, 'GET', '/v1/rules')
 
     again = documents_yaml.parse_configuration(answer['document'], 'again')
 
@@ -270,7 +272,7 @@
 async def test_history_is_newest_first(fakes):
     fakes.configurations.add(fakes.configurations.current().document, 'eva')
 
-    _, answer = await json_of(fakes, 'GET', '/v1/rules/history')
+    _, answer = await call_json(fakes, 'GET', '/v1/rules/history')
 
     assert [line['author'] for line in answer] == ['eva', 'ana']
 
@@ -280,7 +282,7 @@
     fakes.decisions.add(operator_fakes.decision(2, model='other', rule=''))
     text = operator_fakes.RULES.replace('model: [assistant]', 'model: [other]')
 
-    _, answer = await json_of(fakes, 'POST', '/v1/rules/diff', text.encode())
+    _, answer = await call_json(fakes, 'POST', '/v1/rules/diff', text.encode())
 
     assert answer['compared'] == 2
     rule_changes = [
@@ -333,7 +335,7 @@
 
     fakes.configurations.in_force = broken
 
-    status, answer = await json_of(fakes, 'GET', '/v1/status')
+    status, answer = await call_json(fakes, 'GET', '/v1/status')
 
     assert status == 500
     assert 'secret' not in str(answer)
