--- a/tests/test_transport/test_tls.py
+++ b/tests/test_transport/test_tls.py
@@ -207,7 +207,7 @@
 async def test_idle_handshakes_are_bounded(nursery, files):
     # Connections to the peer port that send nothing occupy memory until their
     # handshakes time out; their number must be limited.
-    limits = peer_limits.LinkLimits(handshakes=3, dial_timeout=60.0)
+    limits = peer_limits.LinkLimits(max_handshakes=3, dial_timeout=60.0)
     link = peer_frames.FramesLink(
         'r1', '127.0.0.1', 0, files.issue('r1'), limits
     )
@@ -230,6 +230,6 @@
                     await trio.lowlevel.checkpoint()
             scope.cancel()
 
-    assert link.openings.accepting == 3
+    assert link.opener.accepting == 3
     for stream in streams:
         await stream.aclose()
