--- a/lavenderbend/cmd/base.py
+++ b/lavenderbend/cmd/base.py
@@ -1,4 +1,4 @@
-"""What a command is, and the registry of all of them."""
+"""The base class and the registry of commands."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class Output:
-    """Where a command writes: texts for people, or JSON for programs.
+    """Streams to which a command writes, as plain text or JSON.
 
     Attributes:
-        json: Whether the result is one JSON document.
-        out: Results.
-        err: Progress and errors.
+        json: Whether the result is written as one JSON document.
+        out: Stream for results.
+        err: Stream for progress and errors.
     """
 
     def __init__(
@@ -36,8 +36,13 @@
         self.out = out or sys.stdout
         self.err = err or sys.stderr
 
-    def result(self, value: Any, text: str) -> None:
-        """Writes a result in the form that was asked for."""
+    def write_result(self, value: Any, text: str) -> None:
+        """Writes a result in the requested format.
+
+        Args:
+            value: Result to write as JSON.
+            text: The same result as plain text.
+        """
         if self.json:
             json.dump(value, self.out, indent=2, sort_keys=True)
             self.out.write('\n')
@@ -45,8 +50,8 @@
             self.out.write(text.rstrip('\n') + '\n')
         self.out.flush()
 
-    def note(self, text: str) -> None:
-        """Writes a line of progress or an error."""
+    def write_message(self, text: str) -> None:
+        """Writes a line of progress or an error message."""
         self.err.write(text + '\n')
         self.err.flush()
 
@@ -55,8 +60,8 @@
     """One command.
 
     Attributes:
-        summary: One line for the list of commands.
-        usage: Text for docopt.
+        summary: Description in one line, for the list of commands.
+        usage: Usage text that docopt parses.
     """
 
     summary: str
@@ -66,7 +71,7 @@
     def run(
         self, arguments: Mapping[str, Any], output: Output
     ) -> exit_codes.ExitCode:
-        """Runs the command with the arguments that docopt found."""
+        """Runs the command with the arguments that docopt parsed."""
 
 
 COMMANDS: registry.Registry[type[Command]] = registry.Registry('command')
--- a/lavenderbend/cmd/decision_text.py
+++ b/lavenderbend/cmd/decision_text.py
@@ -1,4 +1,4 @@
-"""Decisions and explanations as text for people."""
+"""Formats decisions and explanations as plain text."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from lavenderbend.cmd import tables
 
-HEADS = (
+HEADERS = (
     'decision',
     'customer',
     'request',
@@ -18,8 +18,8 @@
 )
 
 
-def row(decision: dict[str, Any]) -> tuple[object, ...]:
-    """Returns one decision as a line of a table."""
+def table_row(decision: dict[str, Any]) -> tuple[object, ...]:
+    """Returns one decision as a table row."""
     attempts = decision['attempts']
     last = attempts[-1] if attempts else None
     return (
@@ -35,22 +35,22 @@
 
 
 def milliseconds(seconds: float | None) -> str:
-    """Returns a duration, a dash for none."""
+    """Returns a duration in milliseconds, or a dash for None."""
     return '-' if seconds is None else f'{seconds * 1000:.1f} ms'
 
 
-def whole(decision: dict[str, Any]) -> str:
-    """Returns all of a decision, down to the candidates."""
+def full_text(decision: dict[str, Any]) -> str:
+    """Returns a decision with its attempts and candidates."""
     lines = [
         f'decision   {decision["id"]}',
         f'customer   {decision["customer"]}',
         f'request    {decision["method"]} {decision["path"]}',
-        f'model      {tables.cell(decision["model"])}',
-        f'chat       {tables.cell(decision["chat"])}',
+        f'model      {tables.format_cell(decision["model"])}',
+        f'chat       {tables.format_cell(decision["chat"])}',
         f'rule       {decision["rule"] or "no rule matched"} '
         f'(revision {decision["revision"]})',
-        f'pool       {tables.cell(decision["pool"])}, priority '
-        f'{tables.cell(decision["priority"])}',
+        f'pool       {tables.format_cell(decision["pool"])}, priority '
+        f'{tables.format_cell(decision["priority"])}',
     ]
     for number, attempt in enumerate(decision['attempts'], 1):
         lines += attempt_lines(number, attempt)
@@ -66,11 +66,11 @@
 
 
 def attempt_lines(number: int, attempt: dict[str, Any]) -> list[str]:
-    """Returns the lines of one attempt."""
+    """Returns the lines that describe one attempt."""
     lines = [f'attempt {number}  {attempt["upstream"]}: {attempt["reason"]}']
-    for passed in attempt['passed_over']:
+    for skipped in attempt['passed_over']:
         lines.append(
-            f'           passed over {passed["upstream"]}: {passed["reason"]}'
+            f'           passed over {skipped["upstream"]}: {skipped["reason"]}'
         )
     if attempt['permit']:
         lines.append(
@@ -86,25 +86,25 @@
     return lines
 
 
-def explanation(found: dict[str, Any]) -> str:
-    """Returns an explanation, rule by rule and candidate by candidate."""
-    lines = [f'under revision {found["revision"]}:']
-    for step in found['steps']:
+def explanation_text(explanation: dict[str, Any]) -> str:
+    """Returns an explanation with a line for each rule and candidate."""
+    lines = [f'under revision {explanation["revision"]}:']
+    for step in explanation['steps']:
         if step['failed']:
             lines.append(f'  rule {step["rule"]}: no, {step["failed"]}')
         else:
             lines.append(f'  rule {step["rule"]}: matches')
-    if found['then']:
+    if explanation['then']:
         lines.append('then:')
-        for name, value in found['then'].items():
+        for name, value in explanation['then'].items():
             lines.append(f'  {name}: {value}')
-    if found['candidates']:
-        lines.append(f'upstreams (allowed load {found["allowed_load"]}):')
-    for candidate in found['candidates']:
-        load = tables.cell(candidate['load'])
+    if explanation['candidates']:
+        lines.append(f'upstreams (allowed load {explanation["allowed_load"]}):')
+    for candidate in explanation['candidates']:
+        load = tables.format_cell(candidate['load'])
         lines.append(
             f'  {candidate["upstream"]} in {candidate["availability_zone"]}, '
             f'load {load}: {candidate["verdict"]}'
         )
-    lines.append(found['verdict'])
+    lines.append(explanation['verdict'])
     return '\n'.join(lines)
--- a/lavenderbend/cmd/decisions.py
+++ b/lavenderbend/cmd/decisions.py
@@ -27,7 +27,7 @@
     'error',
     'path',
 )
-NOT_FOUND = 404
+HTTP_NOT_FOUND = 404
 
 
 @base.COMMANDS.register('decisions')
@@ -63,58 +63,62 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Writes decisions."""
+        """Writes the decisions that the arguments select."""
         if arguments['ID'] is not None:
-            return show_one(arguments, output)
+            return show_decision(arguments, output)
         query = {
             name: arguments[f'--{name}']
             for name in FILTERS
             if arguments[f'--{name}'] is not None
         }
         if arguments['--follow']:
-            return follow(arguments, query, output)
-        found = operator_options.ask(
+            return follow_decisions(arguments, query, output)
+        decisions = operator_options.call_router(
             arguments,
             lambda client: client.get(
                 '/v1/decisions', limit=arguments['--limit'], **query
             ),
         )
-        rows = [decision_text.row(decision) for decision in found]
-        output.result(found, tables.table(decision_text.HEADS, rows))
+        rows = [decision_text.table_row(decision) for decision in decisions]
+        output.write_result(
+            decisions, tables.table(decision_text.HEADERS, rows)
+        )
         return exit_codes.ExitCode.OK
 
 
-def show_one(
+def show_decision(
     arguments: Mapping[str, Any], output: base.Output
 ) -> exit_codes.ExitCode:
-    """Writes all of one decision."""
+    """Writes one decision with its attempts and candidates."""
     path = f'/v1/decisions/{arguments["ID"]}'
     try:
-        found = operator_options.ask(arguments, lambda client: client.get(path))
+        decision = operator_options.call_router(
+            arguments, lambda client: client.get(path)
+        )
     except errors.OperatorRefused as exc:
-        if exc.status != NOT_FOUND:
+        if exc.status != HTTP_NOT_FOUND:
             raise
-        output.note(f'lavenderbend: {exc}')
+        output.write_message(f'lavenderbend: {exc}')
         return exit_codes.ExitCode.NOT_FOUND
-    output.result(found, decision_text.whole(found))
+    output.write_result(decision, decision_text.full_text(decision))
     return exit_codes.ExitCode.OK
 
 
-def follow(
+def follow_decisions(
     arguments: Mapping[str, Any],
     query: Mapping[str, str],
     output: base.Output,
 ) -> exit_codes.ExitCode:
-    """Writes a line for each decision until interrupted."""
+    """Writes a line for each new decision until interrupted."""
 
     async def call(client: operator_client.OperatorClient) -> None:
         async for decision in client.follow('/v1/decisions', query):
             if output.json:
                 line = json.dumps(decision)
             else:
-                line = '  '.join(map(str, decision_text.row(decision)))
+                line = '  '.join(map(str, decision_text.table_row(decision)))
             output.out.write(line + '\n')
             output.out.flush()
 
-    operator_options.ask(arguments, call)
+    operator_options.call_router(arguments, call)
     return exit_codes.ExitCode.OK
--- a/lavenderbend/cmd/demo.py
+++ b/lavenderbend/cmd/demo.py
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-LEAST_SECONDS = 5.0
-MOST_SECONDS = 600.0
+MIN_SECONDS = 5.0
+MAX_SECONDS = 600.0
 DEPLOYMENTS = ('correo', 'rutaclara', 'both')
 
 
 @base.COMMANDS.register('demo')
 class Demo(base.Command):
-    """Runs a small fleet under load and reports."""
+    """Runs a small fleet under load and writes a report."""
 
     summary = 'run a small fleet under load in one process, and report'
     usage = """Run three routers, stand-in upstreams and a load; then report.
@@ -47,27 +47,29 @@
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
         """Runs the demo."""
-        # the daemon and the load take a while to import
+        # imported here because the daemon and the load generator import slowly
         from lavenderbend.daemon import demo
         from lavenderbend.daemon import demo_report
 
         plan = demo_report.DemoPlan(
-            choice(arguments['--deployment']),
-            numbers.read('--seconds', arguments, LEAST_SECONDS, MOST_SECONDS),
-            int(numbers.read('--seed', arguments, 0, 2**31)),
+            check_deployment(arguments['--deployment']),
+            numbers.read_number(
+                '--seconds', arguments, MIN_SECONDS, MAX_SECONDS
+            ),
+            int(numbers.read_number('--seed', arguments, 0, 2**31)),
         )
-        report = trio.run(demo.Demo(plan, output.note).run)
-        output.result(demo_text.document(report), demo_text.text(report))
+        report = trio.run(demo.Demo(plan, output.write_message).run)
+        output.write_result(demo_text.document(report), demo_text.text(report))
         if report.failed:
             return exit_codes.ExitCode.FAILED
         return exit_codes.ExitCode.OK
 
 
-def choice(name: str) -> str:
-    """Returns the deployment.
+def check_deployment(name: str) -> str:
+    """Returns the name of a deployment if it is valid.
 
     Raises:
-        SettingsError: There is none of that name.
+        SettingsError: There is no deployment of that name.
     """
     if name not in DEPLOYMENTS:
         allowed = ', '.join(DEPLOYMENTS)
--- a/lavenderbend/cmd/demo_text.py
+++ b/lavenderbend/cmd/demo_text.py
@@ -1,4 +1,4 @@
-"""The report of a demo, for people and for programs."""
+"""Formats the report of a demo as plain text or JSON."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def document(report: demo_report.DemoReport) -> dict[str, Any]:
-    """Returns the report as plain values."""
+    """Returns the report as a JSON object."""
     return {
         'plan': attrs.asdict(report.plan),
         'failed': report.failed,
@@ -29,8 +29,8 @@
         'skew': {
             name: attrs.asdict(skew) for name, skew in report.skews.items()
         },
-        'control': plain(report.control),
-        'leaving': plain(report.leaving),
+        'control': as_dict(report.control),
+        'leaving': as_dict(report.leaving),
         'router_stop_seconds': report.router_stop_seconds,
         'in_force_seconds': report.in_force_seconds,
         'once_runs': {str(k): v for k, v in report.once_runs.items()},
@@ -39,46 +39,46 @@
     }
 
 
-def plain(item: Any) -> dict[str, Any] | None:
-    """Returns an attrs object as a dict, None for none."""
-    return None if item is None else attrs.asdict(item)
+def as_dict(value: Any) -> dict[str, Any] | None:
+    """Returns an attrs object as a dict, or None for None."""
+    return None if value is None else attrs.asdict(value)
 
 
 def text(report: demo_report.DemoReport) -> str:
-    """Returns the report for people."""
-    parts = [
-        answers(report),
+    """Returns the report as plain text."""
+    sections = [
+        answer_section(report),
         latency_table(report.loads),
-        engines(report),
-        events(report),
-        control(report),
+        skew_table(report),
+        event_section(report),
+        control_section(report),
     ]
     if report.decision is not None:
-        parts.append(
+        sections.append(
             'One decision explained (lavenderbend decisions ID)\n'
-            + decision_text.whole(report.decision)
+            + decision_text.full_text(report.decision)
         )
     verdict = 'PASSED'
     if report.failed:
         verdict = 'FAILED: an answer was wrong or cut, or something ran twice'
-    parts.append(verdict)
-    return '\n\n' + '\n\n'.join(parts)
+    sections.append(verdict)
+    return '\n\n' + '\n\n'.join(sections)
 
 
-def answers(report: demo_report.DemoReport) -> str:
-    """Returns what became of the calls."""
+def answer_section(report: demo_report.DemoReport) -> str:
+    """Returns the outcomes of the calls."""
     once = sum(report.once_runs.values())
-    twice = sum(n for times, n in report.once_runs.items() if times > 1)
+    repeated = sum(n for times, n in report.once_runs.items() if times > 1)
     return (
         f'{answer_table(report.loads)}\n'
-        f'Non-idempotent calls: {once} ran, {twice} of them more than once; '
+        f'Non-idempotent calls: {once} ran, {repeated} of them more than once; '
         f'{report.told_not_run} were told "not run" and yet ran'
     )
 
 
 def answer_table(loads: dict[str, results.LoadResult]) -> str:
-    """Returns the table of answers, with examples of what went wrong."""
-    heads = (
+    """Returns the table of outcomes, with examples of failed calls."""
+    headers = (
         'Answers',
         'whole',
         'wrong',
@@ -103,7 +103,7 @@
         )
         for name, result in loads.items()
     ]
-    lines = [tables.table(heads, rows)]
+    lines = [tables.table(headers, rows)]
     for name, result in loads.items():
         lines += [f'  {name}: {example}' for example in result.examples[:3]]
     return '\n'.join(lines)
@@ -111,19 +111,19 @@
 
 def latency_table(loads: dict[str, results.LoadResult]) -> str:
     """Returns the table of latencies."""
-    heads = ('Latency, ms', *(f'p{percent:g}' for percent in QUANTILES))
+    headers = ('Latency, ms', *(f'p{percent:g}' for percent in QUANTILES))
     rows = [
         row
         for name, result in loads.items()
         for row in latency_rows(name, result)
     ]
-    return tables.table(heads, rows)
+    return tables.table(headers, rows)
 
 
 def latency_rows(
     name: str, result: results.LoadResult
 ) -> list[tuple[str, ...]]:
-    """Returns the lines of one site."""
+    """Returns the latency rows of one site."""
     return [
         (
             f'{name} {timing.value}',
@@ -133,9 +133,9 @@
     ]
 
 
-def engines(report: demo_report.DemoReport) -> str:
-    """Returns the table of skew."""
-    heads = (
+def skew_table(report: demo_report.DemoReport) -> str:
+    """Returns the table of engine load and its skew."""
+    headers = (
         'Engine load',
         'mean',
         'highest',
@@ -154,20 +154,24 @@
         )
         for name, skew in report.skews.items()
     ]
-    return tables.table(heads, rows)
+    return tables.table(headers, rows)
 
 
-def events(report: demo_report.DemoReport) -> str:
-    """Returns what happened and what came of it."""
+def event_section(report: demo_report.DemoReport) -> str:
+    """Returns the events and the measurements of their effects."""
     lines = ['What happened']
     lines += [f'  {at:5.1f} s  {event}' for at, event in report.events]
     leaving = report.leaving
     if leaving is not None:
-        rest = 'its requests ended' if leaving.finished else 'still working'
-        last = 'no new request'
+        rest_text = (
+            'its requests ended' if leaving.finished else 'still working'
+        )
+        last_text = 'no new request'
         if leaving.last_new_work is not None:
-            last = f'its last new request {leaving.last_new_work:.2f} s'
-        lines.append(f'  {leaving.engine} got {last} after it left; {rest}')
+            last_text = f'its last new request {leaving.last_new_work:.2f} s'
+        lines.append(
+            f'  {leaving.engine} got {last_text} after it left; {rest_text}'
+        )
     if report.router_stop_seconds is not None:
         lines.append(
             f'  the router stopped in {report.router_stop_seconds:.2f} s'
@@ -175,18 +179,20 @@
     return '\n'.join(lines)
 
 
-def control(report: demo_report.DemoReport) -> str:
+def control_section(report: demo_report.DemoReport) -> str:
     """Returns the table of control traffic."""
-    found = report.control
-    if found is None:
+    traffic = report.control
+    if traffic is None:
         return ''
-    rows = [(name, f'{count:.0f}') for name, count in found.peer_bytes.items()]
+    rows = [
+        (name, f'{count:.0f}') for name, count in traffic.peer_bytes.items()
+    ]
     table = tables.table(
         ('Control traffic', 'bytes/s on peer links, both directions'), rows
     )
     return (
         f'{table}\n'
-        f'Key-value service: {found.key_value_calls:.1f} calls/s and '
-        f'{found.key_value_bytes:.0f} bytes of values a second, all routers '
+        f'Key-value service: {traffic.key_value_calls:.1f} calls/s and '
+        f'{traffic.key_value_bytes:.0f} bytes of values a second, all routers '
         'together'
     )
--- a/lavenderbend/cmd/explain.py
+++ b/lavenderbend/cmd/explain.py
@@ -19,7 +19,7 @@
 
 @base.COMMANDS.register('explain')
 class Explain(base.Command):
-    """Explains what would happen to a request."""
+    """Explains how a router would route a request."""
 
     summary = 'say what would be decided for a request, sending nothing'
     usage = f"""Say what a router would decide for a request; nothing is sent.
@@ -44,29 +44,31 @@
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
         """Writes the explanation."""
-        question = {
+        request = {
             'customer': arguments['--customer'],
             'method': arguments['--method'],
             'path': arguments['--path'],
             'headers': dict(map(split_header, arguments['--header'])),
             'chat_key': arguments['--chat'],
-            'body': body(arguments),
+            'body': request_body(arguments),
         }
-        found = operator_options.ask(
+        explanation = operator_options.call_router(
             arguments,
             lambda client: client.post(
-                '/v1/explain', json.dumps(question).encode()
+                '/v1/explain', json.dumps(request).encode()
             ),
         )
-        output.result(found, decision_text.explanation(found))
+        output.write_result(
+            explanation, decision_text.explanation_text(explanation)
+        )
         return exit_codes.ExitCode.OK
 
 
 def split_header(text: str) -> tuple[str, str]:
-    """Returns name and value of a header.
+    """Returns the name and value of a header.
 
     Raises:
-        SettingsError: There is no colon.
+        SettingsError: The text has no colon.
     """
     name, separator, value = text.partition(':')
     if not separator:
@@ -74,11 +76,11 @@
     return name.strip().lower(), value.strip()
 
 
-def body(arguments: Mapping[str, Any]) -> Any:
-    """Returns the body in question.
+def request_body(arguments: Mapping[str, Any]) -> Any:
+    """Returns the request body, or None if there is none.
 
     Raises:
-        SettingsError: The file is no JSON.
+        SettingsError: The file is not valid JSON.
     """
     if arguments['--body'] is not None:
         try:
--- a/lavenderbend/cmd/load.py
+++ b/lavenderbend/cmd/load.py
@@ -23,8 +23,8 @@
 
     from lavenderbend.load import results
 
-MOST_SECONDS = 86_400.0
-MOST_RATE = 10_000.0
+MAX_SECONDS = 86_400.0
+MAX_RATE = 10_000.0
 MIXES = ', '.join(plans.MIXES)
 
 
@@ -33,7 +33,7 @@
     """The customers file of a load.
 
     Attributes:
-        customers: Who sends, the largest first.
+        customers: Customers that send calls, the largest first.
     """
 
     customers: tuple[plans.LoadCustomer, ...]
@@ -72,9 +72,9 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Sends the load, then writes what became of it."""
+        """Sends the load and writes its result."""
         plan = read_plan(arguments)
-        result = trio.run(send, plan, arguments, output)
+        result = trio.run(send_load, plan, arguments, output)
         write_files(result, arguments)
         text = '\n\n'.join(
             (
@@ -82,18 +82,18 @@
                 demo_text.latency_table({plan.mix: result}),
             )
         )
-        output.result(result.to_document(), text)
+        output.write_result(result.to_document(), text)
         if result.wrong or result.cut or not result.whole:
             return exit_codes.ExitCode.FAILED
         return exit_codes.ExitCode.OK
 
 
 def read_plan(arguments: Mapping[str, Any]) -> plans.LoadPlan:
-    """Returns the load that the command line asks for.
+    """Returns the load plan that the command line describes.
 
     Raises:
         DocumentErrors: All faults of the customers file.
-        SettingsError: A wrong option.
+        SettingsError: An option is invalid.
     """
     path = arguments['--customers']
     document = yaml_nodes.parse(documents_yaml.read_file(path), path)
@@ -106,8 +106,8 @@
     unknown = set(arguments['--surge']) - names
     if unknown:
         raise errors.SettingsError(f'--surge: no customer {unknown.pop()!r}')
-    seconds = numbers.read('--seconds', arguments, 1.0, MOST_SECONDS)
-    factor = numbers.read('--surge-factor', arguments, 0.0, 1000.0)
+    seconds = numbers.read_number('--seconds', arguments, 1.0, MAX_SECONDS)
+    factor = numbers.read_number('--surge-factor', arguments, 0.0, 1000.0)
     surge = plans.Surge(
         tuple(arguments['--surge']), factor, seconds / 3, seconds / 3
     )
@@ -115,22 +115,23 @@
         mix=arguments['--mix'],
         customers=senders.customers,
         seconds=seconds,
-        rate=numbers.read('--rate', arguments, 0.01, MOST_RATE),
-        seed=int(numbers.read('--seed', arguments, 0, 2**31)),
+        rate=numbers.read_number('--rate', arguments, 0.01, MAX_RATE),
+        seed=int(numbers.read_number('--seed', arguments, 0, 2**31)),
         surges=(surge,),
     )
 
 
-async def send(
+async def send_load(
     plan: plans.LoadPlan, arguments: Mapping[str, Any], output: base.Output
 ) -> results.LoadResult:
-    """Sends the load and shows progress."""
-    # the load and the stand-ins' answers take a while to import
+    """Sends the load and writes its progress."""
+    # imported here because the load generator and the stand-ins' answers
+    # import slowly
     from lavenderbend import load
     from lavenderbend.standin import engine_texts
 
     def progress(result: results.LoadResult) -> None:
-        output.note(
+        output.write_message(
             f'{result.whole} whole, {result.wrong} wrong, {result.cut} cut, '
             f'{result.refused} refused'
         )
@@ -142,7 +143,7 @@
 def write_files(
     result: results.LoadResult, arguments: Mapping[str, Any]
 ) -> None:
-    """Writes the histogram and the plot that were asked for."""
+    """Writes the requested histogram and plot files."""
     from lavenderbend.load import plots
 
     if arguments['--histogram'] is not None:
--- a/lavenderbend/cmd/main.py
+++ b/lavenderbend/cmd/main.py
@@ -1,4 +1,4 @@
-"""Finds the command, runs it, and turns errors into exit codes."""
+"""Finds and runs a command, and maps its errors to exit codes."""
 
 from __future__ import annotations
 
@@ -41,17 +41,16 @@
 
 
 def load_commands() -> None:
-    """Imports each module of the package, so that it registers."""
+    """Imports all modules of the package, which register their commands."""
     for module in pkgutil.iter_modules(cmd.__path__):
         importlib.import_module(f'{cmd.__name__}.{module.name}')
 
 
-def load_named(argv: Sequence[str]) -> None:
-    """Imports the module of the command that the arguments begin with.
+def load_command_module(argv: Sequence[str]) -> None:
+    """Imports the module of the command that the arguments start with.
 
-    A router would otherwise hold what all other commands import: 56 MB
-    instead of 35 MB, measured as the largest resident set after importing
-    a forwarding router.
+    Importing all commands would raise the peak resident set size of a
+    forwarding router after its imports from 35 MB to 56 MB.
     """
     for count in (2, 1):
         name = '_'.join(argv[:count])
@@ -75,7 +74,7 @@
     return USAGE.format(commands=commands, codes=codes)
 
 
-def find(argv: Sequence[str]) -> str | None:
+def find_command(argv: Sequence[str]) -> str | None:
     """Returns the name of the command at the start of the arguments."""
     for count in (2, 1):
         name = ' '.join(argv[:count])
@@ -91,15 +90,17 @@
     output = output or base.Output()
     if not argv or argv[0] in ('--help', '-h', 'help'):
         load_commands()
-        output.result(sorted(base.COMMANDS.entries), usage())
+        output.write_result(sorted(base.COMMANDS.entries), usage())
         return exit_codes.ExitCode.OK if argv else exit_codes.ExitCode.USAGE
     if argv[0] == '--version':
-        output.result(lavenderbend.__version__, lavenderbend.__version__)
+        output.write_result(lavenderbend.__version__, lavenderbend.__version__)
         return exit_codes.ExitCode.OK
-    load_named(argv)
-    name = find(argv)
+    load_command_module(argv)
+    name = find_command(argv)
     if name is None:
-        output.note(f'lavenderbend: no command {argv[0]!r}; see --help')
+        output.write_message(
+            f'lavenderbend: no command {argv[0]!r}; see --help'
+        )
         return exit_codes.ExitCode.USAGE
     return run_command(base.COMMANDS.get(name)(), argv, output)
 
@@ -109,39 +110,42 @@
 ) -> exit_codes.ExitCode:
     """Runs one command and returns its exit code."""
     if '--help' in argv or '-h' in argv:
-        output.result(command.usage, command.usage)
+        output.write_result(command.usage, command.usage)
         return exit_codes.ExitCode.OK
     try:
         arguments = docopt.docopt(command.usage, list(argv), help=False)
     except docopt.DocoptExit as exc:
-        output.note(str(exc))
+        output.write_message(str(exc))
         return exit_codes.ExitCode.USAGE
     output.json = bool(arguments.get('--json'))
-    return guarded(lambda: command.run(arguments, output), output)
+    return run_with_exit_code(lambda: command.run(arguments, output), output)
 
 
-def guarded(
+def run_with_exit_code(
     run: Callable[[], exit_codes.ExitCode], output: base.Output
 ) -> exit_codes.ExitCode:
-    """Returns the exit code of a run, or of the error that ended it."""
+    """Runs a command and returns its exit code or that of its error."""
     try:
         return run()
     except KeyboardInterrupt:
         return exit_codes.ExitCode.INTERRUPTED
     except (errors.LavenderbendError, OSError, ExceptionGroup) as exc:
-        return report(exc, output)
+        return report_error(exc, output)
 
 
-def report(exc: Exception, output: base.Output) -> exit_codes.ExitCode:
-    """Writes an error, group by group, and returns its exit code.
+def report_error(exc: Exception, output: base.Output) -> exit_codes.ExitCode:
+    """Writes an error and returns its exit code.
+
+    The errors of a group are written one by one; the highest of their exit
+    codes is returned.
 
     Raises:
-        Exception: The error is none that a command may end with.
+        Exception: The error has no exit code.
     """
     if isinstance(exc, ExceptionGroup) and not isinstance(
         exc, errors.LavenderbendError
     ):
-        codes = [report(inner, output) for inner in exc.exceptions]
+        codes = [report_error(inner, output) for inner in exc.exceptions]
         return max(codes)
     for kind, code in ERROR_CODES:
         if isinstance(exc, kind):
@@ -151,11 +155,11 @@
 
 
 def write_error(exc: Exception, output: base.Output) -> None:
-    """Writes an error and, of a group, each of its members."""
+    """Writes an error message, with the members of an error group."""
     if isinstance(exc, ExceptionGroup):
-        output.note(f'lavenderbend: {exc.message}:')
+        output.write_message(f'lavenderbend: {exc.message}:')
         for inner in exc.exceptions:
-            output.note(f'  {inner}')
+            output.write_message(f'  {inner}')
         return
     category = getattr(exc, 'category', 'system error')
-    output.note(f'lavenderbend: {category}: {exc}')
+    output.write_message(f'lavenderbend: {category}: {exc}')
--- a/lavenderbend/cmd/numbers.py
+++ b/lavenderbend/cmd/numbers.py
@@ -1,4 +1,4 @@
-"""Numbers on the command line."""
+"""Parses numeric command line options."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
     from collections.abc import Mapping
 
 
-def read(
-    option: str, arguments: Mapping[str, Any], least: float, most: float
+def read_number(
+    option: str, arguments: Mapping[str, Any], minimum: float, maximum: float
 ) -> float:
-    """Returns the number that an option gives.
+    """Returns the numeric value of an option.
 
     Raises:
-        SettingsError: It is none, or out of bounds.
+        SettingsError: The value is not a number or out of bounds.
     """
     try:
         value = float(arguments[option])
     except ValueError as exc:
         raise errors.SettingsError(f'{option}: {exc}') from exc
-    if not least <= value <= most:
-        raise errors.SettingsError(f'{option}: {least:g} to {most:g}')
+    if not minimum <= value <= maximum:
+        raise errors.SettingsError(f'{option}: {minimum:g} to {maximum:g}')
     return value
--- a/lavenderbend/cmd/operator_options.py
+++ b/lavenderbend/cmd/operator_options.py
@@ -1,4 +1,4 @@
-"""Options of every command that asks a router."""
+"""Options of all commands that call a router's operators' interface."""
 
 from __future__ import annotations
 
@@ -28,34 +28,39 @@
   --json                  Write the result as JSON."""
 
 
-def credential(arguments: Mapping[str, Any]) -> str:
+def read_credential(arguments: Mapping[str, Any]) -> str:
     """Returns the operators' credential.
 
     Raises:
-        SettingsError: There is none, or its file cannot be read.
+        SettingsError: The credential is missing or invalid, or its file
+            cannot be read.
     """
     name = arguments['--credential-file']
     if name is None:
-        found = os.environ.get(CREDENTIAL_VARIABLE, '')
+        secret = os.environ.get(CREDENTIAL_VARIABLE, '')
     else:
         try:
-            found = pathlib.Path(name).read_text().strip()
+            secret = pathlib.Path(name).read_text().strip()
         except (OSError, UnicodeDecodeError) as exc:
             raise errors.SettingsError(f'{name}: {exc}') from exc
-    if not found.isascii() or not found.isprintable() or not found:
+    if not secret.isascii() or not secret.isprintable() or not secret:
         raise errors.SettingsError(
             'no credential: set LAVENDERBEND_CREDENTIAL or give '
             '--credential-file'
         )
-    return found
+    return secret
 
 
-def ask(
+def call_router(
     arguments: Mapping[str, Any],
     call: Callable[[operator_client.OperatorClient], Awaitable[T]],
 ) -> T:
-    """Returns what a call of the router's interface returns."""
-    secret = credential(arguments)
+    """Runs a call of the router's operators' interface.
+
+    Raises:
+        SettingsError: There is no valid credential.
+    """
+    secret = read_credential(arguments)
 
     async def run() -> T:
         async with operator_client.OperatorClient(
--- a/lavenderbend/cmd/router.py
+++ b/lavenderbend/cmd/router.py
@@ -27,7 +27,8 @@
     settings: settings_module.RouterSettings, path: str
 ) -> exit_codes.ExitCode:
     """Runs a router that forwards any HTTP request."""
-    # it loads a third of what the other kind of router does
+    # imported here because it loads a third as much code as the other kind
+    # of router
     from lavenderbend.daemon import forwarding
 
     if settings.tracing.otlp_endpoint is not None:
@@ -62,15 +63,15 @@
         """Runs the router; log lines go to standard output."""
         path = arguments['--settings'] or os.environ.get(SETTINGS_VARIABLE)
         if not path:
-            output.note(f'give --settings, or set {SETTINGS_VARIABLE}')
+            output.write_message(f'give --settings, or set {SETTINGS_VARIABLE}')
             return exit_codes.ExitCode.USAGE
         settings = documents_yaml.load_settings(path)
         if arguments['--check']:
-            output.note(f'{path}: can be used')
+            output.write_message(f'{path}: can be used')
             return exit_codes.ExitCode.OK
         if settings.forwarding is not None:
             return run_forwarding(settings, path)
-        # only this command needs the daemon; `rules check` starts faster
+        # imported here so that `rules check` starts faster without the daemon
         from lavenderbend.daemon import router
         from lavenderbend.observe import tracing
 
--- a/lavenderbend/cmd/rules_apply.py
+++ b/lavenderbend/cmd/rules_apply.py
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-SEEN_COMMENT = re.compile(rb'\A# revision ([0-9]{1,12})\b')
+REVISION_COMMENT = re.compile(rb'\A# revision ([0-9]{1,12})\b')
 
 
 @base.COMMANDS.register('rules apply')
 class RulesApply(base.Command):
-    """Has a configuration accepted."""
+    """Applies a configuration to the fleet."""
 
     summary = 'have a configuration accepted and wait until it is in force'
     usage = f"""Have a configuration accepted on top of the revision seen.
@@ -47,7 +47,7 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Checks the file here, then has it accepted."""
+        """Checks the file locally, then applies it through a router."""
         text = documents_yaml.read_file(arguments['FILE'])
         documents_yaml.parse_configuration(text, arguments['FILE'])
 
@@ -56,41 +56,41 @@
                 '/v1/rules/apply',
                 text,
                 operator_client.APPLY_TIMEOUT_SECONDS,
-                seen=await seen(arguments, text, client),
+                seen=await base_revision(arguments, text, client),
                 author=arguments['--author'] or getpass.getuser(),
                 reason=arguments['--reason'],
                 wait=arguments['--wait'],
             )
 
         try:
-            accepted = operator_options.ask(arguments, call)
+            accepted = operator_options.call_router(arguments, call)
         except errors.OperatorRefused as exc:
             if exc.kind != 'configuration-conflict':
                 raise
-            output.note(f'lavenderbend: conflict: {exc}')
+            output.write_message(f'lavenderbend: conflict: {exc}')
             return exit_codes.ExitCode.CONFLICT
-        return report(accepted, output)
+        return write_report(accepted, output)
 
 
-async def seen(
+async def base_revision(
     arguments: Mapping[str, Any],
     text: bytes,
     client: operator_client.OperatorClient,
 ) -> str:
-    """Returns the revision that the file was made from."""
+    """Returns the number of the revision that the file is based on."""
     if arguments['--seen'] is not None:
         return arguments['--seen']
-    found = SEEN_COMMENT.match(text)
-    if found:
-        return found[1].decode()
+    match = REVISION_COMMENT.match(text)
+    if match:
+        return match[1].decode()
     status = await client.get('/v1/status')
     return str(status['revision']['number'] if status['revision'] else 0)
 
 
-def report(
+def write_report(
     accepted: dict[str, Any], output: base.Output
 ) -> exit_codes.ExitCode:
-    """Writes what was accepted and where it is not in force."""
+    """Writes the accepted revision and the routers that lack it."""
     lines = [f'warning: {text}' for text in accepted['warnings']]
     lines.append(f'revision {accepted["number"]} is accepted')
     if accepted['in_force']:
@@ -98,7 +98,7 @@
     else:
         missing = ', '.join(accepted['missing'])
         lines.append(f'not reported in force by: {missing}')
-    output.result(accepted, '\n'.join(lines))
+    output.write_result(accepted, '\n'.join(lines))
     if accepted['in_force']:
         return exit_codes.ExitCode.OK
     return exit_codes.ExitCode.NOT_IN_FORCE
--- a/lavenderbend/cmd/rules_check.py
+++ b/lavenderbend/cmd/rules_check.py
@@ -32,7 +32,7 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Writes warnings; faults end in the exit code for settings."""
+        """Writes warnings; a faulty file raises `DocumentErrors`."""
         document = documents_yaml.load_configuration(arguments['FILE'])
         warnings = rule_checks.warnings(document)
         texts = [f'warning: {warning.text}' for warning in warnings]
@@ -50,7 +50,7 @@
                 for warning in warnings
             ],
         }
-        output.result(value, '\n'.join(texts))
+        output.write_result(value, '\n'.join(texts))
         if warnings and arguments['--strict']:
             return exit_codes.ExitCode.FAILED
         return exit_codes.ExitCode.OK
--- a/lavenderbend/cmd/rules_diff.py
+++ b/lavenderbend/cmd/rules_diff.py
@@ -17,7 +17,7 @@
 
 @base.COMMANDS.register('rules diff')
 class RulesDiff(base.Command):
-    """Tries other rules on recorded decisions."""
+    """Compares recorded decisions under other rules."""
 
     summary = 'say which recorded decisions other rules would change'
     usage = f"""Say which decisions of a router would go another way.
@@ -39,7 +39,7 @@
         """Writes one line for each difference."""
         text = documents_yaml.read_file(arguments['FILE'])
         documents_yaml.parse_configuration(text, arguments['FILE'])
-        found = operator_options.ask(
+        comparison = operator_options.call_router(
             arguments,
             lambda client: client.post(
                 '/v1/rules/diff', text, limit=arguments['--limit']
@@ -47,25 +47,25 @@
         )
         rows = [
             (
-                item['decision'],
-                item['customer'],
-                item['path'],
-                item['old_rule'],
-                item['new_rule'],
-                ', '.join(item['changed']),
+                difference['decision'],
+                difference['customer'],
+                difference['path'],
+                difference['old_rule'],
+                difference['new_rule'],
+                ', '.join(difference['changed']),
             )
-            for item in found['differences']
+            for difference in comparison['differences']
         ]
-        heads = ('decision', 'customer', 'path', 'now', 'then', 'changes')
-        lines = [tables.table(heads, rows)] if rows else []
+        headers = ('decision', 'customer', 'path', 'now', 'then', 'changes')
+        lines = [tables.table(headers, rows)] if rows else []
         lines.append(
-            f'{len(rows)} of {found["compared"]} decisions would go another '
-            f'way than under revision {found["seen"]}'
+            f'{len(rows)} of {comparison["compared"]} decisions would go '
+            f'another way than under revision {comparison["seen"]}'
         )
-        if found['uncertain']:
+        if comparison['uncertain']:
             lines.append(
-                f'{len(found["uncertain"])} have not kept a header that a '
+                f'{len(comparison["uncertain"])} have not kept a header that a '
                 'rule looks at'
             )
-        output.result(found, '\n'.join(lines))
+        output.write_result(comparison, '\n'.join(lines))
         return exit_codes.ExitCode.OK
--- a/lavenderbend/cmd/rules_history.py
+++ b/lavenderbend/cmd/rules_history.py
@@ -16,7 +16,7 @@
 
 @base.COMMANDS.register('rules history')
 class RulesHistory(base.Command):
-    """Shows who had which revision accepted."""
+    """Shows the history of revisions."""
 
     summary = 'show who had which revision accepted, when and why'
     usage = f"""Show the latest revisions, newest first.
@@ -33,7 +33,7 @@
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
         """Writes one line for each revision."""
-        found = operator_options.ask(
+        revisions = operator_options.call_router(
             arguments,
             lambda client: client.get(
                 '/v1/rules/history', limit=arguments['--limit']
@@ -42,13 +42,13 @@
         rows = [
             (
                 revision['number'],
-                tables.clock(revision['accepted_at']),
+                tables.format_utc(revision['accepted_at']),
                 revision['author'],
                 revision['reason'],
                 revision['digest'][:12],
             )
-            for revision in found
+            for revision in revisions
         ]
-        heads = ('revision', 'accepted', 'author', 'reason', 'digest')
-        output.result(found, tables.table(heads, rows))
+        headers = ('revision', 'accepted', 'author', 'reason', 'digest')
+        output.write_result(revisions, tables.table(headers, rows))
         return exit_codes.ExitCode.OK
--- a/lavenderbend/cmd/rules_show.py
+++ b/lavenderbend/cmd/rules_show.py
@@ -35,15 +35,15 @@
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
         """Writes the document as YAML."""
-        found = operator_options.ask(
+        revision = operator_options.call_router(
             arguments, lambda client: client.get('/v1/rules')
         )
-        # texts of operators belong on one line of comment
-        by = ' '.join(f'{found["author"]}: {found["reason"]}'.split())
+        # author and reason must not break the comment line
+        by = ' '.join(f'{revision["author"]}: {revision["reason"]}'.split())
         text = (
-            f'# revision {found["number"]}\n'
-            f'# accepted {tables.clock(found["accepted_at"])} by {by}\n'
-            f'{found["document"]}'
+            f'# revision {revision["number"]}\n'
+            f'# accepted {tables.format_utc(revision["accepted_at"])} by {by}\n'
+            f'{revision["document"]}'
         )
-        output.result(found, text)
+        output.write_result(revision, text)
         return exit_codes.ExitCode.OK
--- a/lavenderbend/cmd/standin.py
+++ b/lavenderbend/cmd/standin.py
@@ -49,20 +49,22 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Serves until a signal comes."""
+        """Serves until SIGTERM or SIGINT."""
         try:
             kind = standins.STANDINS.get(arguments['KIND'])
         except errors.RegistrationError as exc:
-            output.note(f'lavenderbend: {exc}')
+            output.write_message(f'lavenderbend: {exc}')
             return exit_codes.ExitCode.USAGE
         port = arguments['--port'] or str(kind.default_port)
         if not port.isascii() or not port.isdigit() or int(port) > 65535:
-            output.note(f'lavenderbend: no port: {port!r}')
+            output.write_message(f'lavenderbend: no port: {port!r}')
             return exit_codes.ExitCode.USAGE
-        item = standins.load(kind, arguments['--settings'])
-        if arguments['--name'] is not None and hasattr(item, 'name'):
-            item = attrs.evolve(item, name=arguments['--name'])
-        trio.run(serve, kind(), arguments['--host'], int(port), item, output)
+        settings = standins.load_settings(kind, arguments['--settings'])
+        if arguments['--name'] is not None and hasattr(settings, 'name'):
+            settings = attrs.evolve(settings, name=arguments['--name'])
+        trio.run(
+            serve, kind(), arguments['--host'], int(port), settings, output
+        )
         return exit_codes.ExitCode.OK
 
 
@@ -70,7 +72,7 @@
     standin: standins.StandIn,
     host: str,
     port: int,
-    item: Any,
+    settings: Any,
     output: base.Output,
 ) -> None:
     """Serves until SIGTERM or SIGINT."""
@@ -78,10 +80,10 @@
         async with trio.open_nursery() as nursery:
 
             async def run(task_status: trio.TaskStatus[Any]) -> None:
-                await standin.serve(host, port, item, task_status)
+                await standin.serve(host, port, settings, task_status)
 
             bound = await nursery.start(run)
-            output.note(f'serving at {bound}')
+            output.write_message(f'serving at {bound}')
             with contextlib.suppress(StopAsyncIteration):
                 await anext(signals)
             nursery.cancel_scope.cancel()
--- a/lavenderbend/cmd/status.py
+++ b/lavenderbend/cmd/status.py
@@ -16,7 +16,7 @@
 
 @base.COMMANDS.register('status')
 class Status(base.Command):
-    """Shows what a router knows of the fleet."""
+    """Shows the state of the fleet as seen by one router."""
 
     summary = 'show routers, upstreams and rules as one router sees them'
     usage = f"""Show routers, upstreams with their load, and rules.
@@ -31,41 +31,41 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Writes the tables."""
-        found = operator_options.ask(
+        """Writes the tables of routers, upstreams and rules."""
+        status = operator_options.call_router(
             arguments, lambda client: client.get('/v1/status')
         )
-        output.result(found, '\n\n'.join(sections(found)))
+        output.write_result(status, '\n\n'.join(text_sections(status)))
         return exit_codes.ExitCode.OK
 
 
-def sections(found: dict[str, Any]) -> list[str]:
-    """Returns the parts of the text."""
-    revision = found['revision']
+def text_sections(status: dict[str, Any]) -> list[str]:
+    """Returns the heading and the tables of the plain text."""
+    revision = status['revision']
     number = revision['number'] if revision else 'none'
-    head = (
-        f'{found["router"]} in {found["availability_zone"]}, '
-        f'lavenderbend {found["version"]}, revision {number}'
+    heading = (
+        f'{status["router"]} in {status["availability_zone"]}, '
+        f'lavenderbend {status["version"]}, revision {number}'
     )
-    if found['cut_off_seconds'] is not None:
-        head += (
+    if status['cut_off_seconds'] is not None:
+        heading += (
             f'\ncut off from the key-value service and all peers for '
-            f'{found["cut_off_seconds"]:.0f} s, policy: '
-            f'{found["when_cut_off"]}'
+            f'{status["cut_off_seconds"]:.0f} s, policy: '
+            f'{status["when_cut_off"]}'
         )
     routers = [
         (r['id'], r['availability_zone'], r['state'], r['revision'])
-        for r in found['routers']
+        for r in status['routers']
     ]
     rules = [
         (r['name'], r['pool'] or 'rejected', r['priority'], r['hits'])
-        for r in found['rules']
+        for r in status['rules']
     ]
-    parts = [
-        head,
+    sections = [
+        heading,
         tables.table(('router', 'zone', 'state', 'revision'), routers),
     ]
-    for pool in found['pools']:
+    for pool in status['pools']:
         rows = [
             (
                 vm['id'],
@@ -76,8 +76,8 @@
             )
             for vm in pool['upstreams']
         ]
-        heads = (f'pool {pool["name"]}', 'zone', 'load', 'age s', 'new work')
-        parts.append(tables.table(heads, rows))
-    heads = ('rule', 'goes to', 'priority', 'first matches here')
-    parts.append(tables.table(heads, rules))
-    return parts
+        headers = (f'pool {pool["name"]}', 'zone', 'load', 'age s', 'new work')
+        sections.append(tables.table(headers, rows))
+    headers = ('rule', 'goes to', 'priority', 'first matches here')
+    sections.append(tables.table(headers, rules))
+    return sections
--- a/lavenderbend/cmd/tables.py
+++ b/lavenderbend/cmd/tables.py
@@ -1,4 +1,4 @@
-"""Plain tables for people."""
+"""Plain text tables."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     from collections.abc import Sequence
 
 
-def table(heads: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
-    """Returns lines with aligned columns."""
-    lines = [[str(head) for head in heads]]
-    lines += [[cell(value) for value in row] for row in rows]
-    widths = [max(len(line[i]) for line in lines) for i in range(len(heads))]
+def table(headers: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
+    """Returns a table with aligned columns."""
+    lines = [[str(header) for header in headers]]
+    lines += [[format_cell(value) for value in row] for row in rows]
+    widths = [max(len(line[i]) for line in lines) for i in range(len(headers))]
     return '\n'.join(
         '  '.join(
             text.ljust(width) for text, width in zip(line, widths, strict=True)
@@ -23,8 +23,8 @@
     )
 
 
-def cell(value: object) -> str:
-    """Returns one value as text, a dash for none."""
+def format_cell(value: object) -> str:
+    """Returns one value as text, or a dash for None or empty text."""
     if value is None or value == '':
         return '-'
     if isinstance(value, float):
@@ -32,7 +32,7 @@
     return str(value)
 
 
-def clock(at: float) -> str:
-    """Returns a time since the epoch as UTC."""
-    moment = datetime.datetime.fromtimestamp(at, datetime.UTC)
-    return moment.strftime('%Y-%m-%d %H:%M:%SZ')
+def format_utc(timestamp: float) -> str:
+    """Returns a Unix timestamp in seconds as UTC date and time."""
+    utc = datetime.datetime.fromtimestamp(timestamp, datetime.UTC)
+    return utc.strftime('%Y-%m-%d %H:%M:%SZ')
--- a/lavenderbend/cmd/trace.py
+++ b/lavenderbend/cmd/trace.py
@@ -15,12 +15,13 @@
     from collections.abc import Iterator
     from collections.abc import Mapping
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
-# what a router came to believe so long before a request ended may be why
+# state changes of a router within this time before a request may explain the
+# request's outcome
 CONTEXT_SECONDS = 10.0
-# lines that speak of all requests of a router
-GENERAL = (
+# events that concern all requests of a router
+ROUTER_EVENTS = (
     'store_lost',
     'store_regained',
     'snapshot_changed',
@@ -28,7 +29,7 @@
     'router_stopping',
     'settings_reloaded',
 )
-HIDDEN = ('timestamp', 'task_uuid', 'task_level', 'message_type')
+OMITTED_FIELDS = ('timestamp', 'task_uuid', 'task_level', 'message_type')
 
 
 class LogUnreadable(errors.LavenderbendError):
@@ -39,7 +40,7 @@
 
 @base.COMMANDS.register('trace')
 class Trace(base.Command):
-    """Shows what became of a request, from the logs of routers."""
+    """Shows the log lines of a request with their context."""
 
     summary = 'show what became of a request, from logs'
     usage = """Show the lines of a request, and what its router believed then.
@@ -54,41 +55,49 @@
     def run(
         self, arguments: Mapping[str, Any], output: base.Output
     ) -> exit_codes.ExitCode:
-        """Reads the files in their order.
+        """Writes the lines of a request, file by file.
 
-        Within a file the lines keep their order, and files are not mixed:
-        the clocks of VMs differ, and a request touches one router only.
+        Lines keep their order within a file and are not sorted across files:
+        the clocks of VMs differ, and a request passes through one router
+        only.
         """
         request = arguments['ID']
-        found: list[Line] = []
+        matches: list[LogLine] = []
         for name in arguments['FILE']:
-            found.extend(lines_of(request, name))
-        text = '\n'.join(shown(line) for line in found)
-        output.result(found, text or f'no line names {request}')
-        if found:
+            matches.extend(request_lines(request, name))
+        text = '\n'.join(format_line(line) for line in matches)
+        output.write_result(matches, text or f'no line names {request}')
+        if matches:
             return exit_codes.ExitCode.OK
         return exit_codes.ExitCode.FAILED
 
 
-def lines_of(request: str, name: str) -> list[Line]:
-    """Returns the lines of a file on a request, with their context."""
+def request_lines(request: str, name: str) -> list[LogLine]:
+    """Returns the lines of a request in a log file, with context lines."""
     lines = list(read_lines(name))
-    own = [line for line in lines if line.get('request') == request]
-    if not own:
+    own_lines = [line for line in lines if line.get('request') == request]
+    if not own_lines:
         return []
-    began = own[0]['timestamp'] - own[0].get('seconds', 0) - CONTEXT_SECONDS
-    ended = own[-1]['timestamp']
-    upstreams = upstreams_of(own)
+    context_start = (
+        own_lines[0]['timestamp']
+        - own_lines[0].get('seconds', 0)
+        - CONTEXT_SECONDS
+    )
+    request_end = own_lines[-1]['timestamp']
+    upstreams = named_upstreams(own_lines)
     return [
         {'file': name, **line}
         for line in lines
         if line.get('request') == request
-        or (began <= line['timestamp'] <= ended and is_context(line, upstreams))
+        or (
+            context_start <= line['timestamp'] <= request_end
+            and is_context(line, upstreams)
+        )
     ]
 
 
-def upstreams_of(lines: list[Line]) -> set[str]:
-    """Returns the upstreams that lines of a request name."""
+def named_upstreams(lines: list[LogLine]) -> set[str]:
+    """Returns the ids of upstreams that occur in lines of a request."""
     names: set[str] = set()
     for line in lines:
         names.update(line.get('sent_to', ()))
@@ -97,20 +106,22 @@
     return names - {''}
 
 
-def is_context(line: Line, upstreams: set[str]) -> bool:
-    """Returns whether a line says what the router believed."""
+def is_context(line: LogLine, upstreams: set[str]) -> bool:
+    """Returns whether a line concerns these upstreams or all requests."""
     if line.get('request'):
         return False
-    return event_of(line) in GENERAL or line.get('upstream') in upstreams
+    return (
+        event_name(line) in ROUTER_EVENTS or line.get('upstream') in upstreams
+    )
 
 
-def event_of(line: Line) -> str:
-    """Returns the name of what a line tells."""
+def event_name(line: LogLine) -> str:
+    """Returns the name of the event that a line logs."""
     return line.get('message_type', '').rpartition(':')[2]
 
 
-def read_lines(name: str) -> Iterator[Line]:
-    """Yields the log lines of a file; other output in it is passed over.
+def read_lines(name: str) -> Iterator[LogLine]:
+    """Yields the log lines of a file and skips other output in it.
 
     Raises:
         LogUnreadable: The file cannot be read.
@@ -119,23 +130,25 @@
         text = pathlib.Path(name).read_text(errors='replace')
     except OSError as exc:
         raise LogUnreadable(f'{name}: {exc.strerror}') from exc
-    for row in text.splitlines():
-        start = row.find('{')
+    for text_line in text.splitlines():
+        start = text_line.find('{')
         if start < 0:
             continue
         try:
-            line = json.loads(row[start:])
+            line = json.loads(text_line[start:])
         except json.JSONDecodeError:
             continue
         if isinstance(line, dict) and 'timestamp' in line:
             yield line
 
 
-def shown(line: Line) -> str:
-    """Returns a line as text."""
+def format_line(line: LogLine) -> str:
+    """Returns a log line as plain text."""
     fields = '  '.join(
         f'{key}={value}'
         for key, value in line.items()
-        if key not in (*HIDDEN, 'file') and value not in ('', [], None)
+        if key not in (*OMITTED_FIELDS, 'file') and value not in ('', [], None)
+    )
+    return (
+        f'{line["file"]} {line["timestamp"]:.3f} {event_name(line)}  {fields}'
     )
-    return f'{line["file"]} {line["timestamp"]:.3f} {event_of(line)}  {fields}'
--- a/lavenderbend/daemon/__init__.py
+++ b/lavenderbend/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The processes, thin over the library."""
+"""Router daemons, stand-ins and the demo, built from the library."""
--- a/lavenderbend/daemon/adapters.py
+++ b/lavenderbend/daemon/adapters.py
@@ -1,4 +1,4 @@
-"""What a router's settings name: adapters, policies and limits."""
+"""Makes adapters, policies and limits from a router's settings."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from lavenderbend.coordination.orders import orders as orders_module
 from lavenderbend.protocol import http_limits
 from lavenderbend.state import settings as settings_module
-from lavenderbend.transport import key_value_etcd  # noqa: F401 - registers
+from lavenderbend.transport import key_value_etcd  # noqa: F401 - registers itself
 from lavenderbend.transport import key_values
 from lavenderbend.transport import links
-from lavenderbend.transport import peer_frames  # noqa: F401 - registers
+from lavenderbend.transport import peer_frames  # noqa: F401 - registers itself
 from lavenderbend.transport import tls
-from lavenderbend.transport import vm_list_http  # noqa: F401 - registers
+from lavenderbend.transport import vm_list_http  # noqa: F401 - registers itself
 from lavenderbend.transport import vm_lists
 
 if TYPE_CHECKING:
@@ -39,11 +39,12 @@
 
 
 def make_link(settings: settings_module.RouterSettings) -> links.BatchLink:
-    """Returns the link to other routers.
+    """Returns the message link to other routers.
 
     Raises:
-        PeerTlsRequired: The address is beyond loopback, without TLS.
-        TlsFilesInvalid: The files cannot be used.
+        PeerTlsRequired: The address is not a loopback address and TLS is
+            not configured.
+        TlsFilesInvalid: A TLS certificate or key file is unusable.
     """
     peers = settings.peers
     context = None
@@ -62,7 +63,7 @@
 
 
 def make_vm_list(settings: settings_module.VmListSettings) -> interfaces.VmList:
-    """Returns the source of the VM list."""
+    """Returns the client that reads the VM list."""
     cls = vm_lists.VM_LISTS.get(settings.adapter.value)
     if settings.adapter is settings_module.VmListKind.STATIC:
         return cls(settings.vms)
@@ -72,7 +73,7 @@
 def membership_settings(
     settings: settings_module.VmListSettings,
 ) -> membership_module.MembershipSettings:
-    """Returns the periods of membership."""
+    """Returns the settings of membership."""
     return membership_module.MembershipSettings(
         list_period=settings.interval_seconds
     )
@@ -81,7 +82,7 @@
 def caller_limits(
     settings: settings_module.CallerSettings,
 ) -> http_limits.HttpLimits:
-    """Returns the limits that guard the memory of the callers' side."""
+    """Returns the limits that bound the memory used by caller connections."""
     return http_limits.HttpLimits(
         header_bytes=settings.max_header_bytes,
         body_bytes=settings.max_body_bytes,
@@ -93,14 +94,14 @@
 def admission_settings(
     settings: settings_module.AdmissionSettings,
 ) -> admission_module.AdmissionSettings:
-    """Returns the sizes of admission."""
+    """Returns the settings of admission."""
     return admission_module.AdmissionSettings(chats=settings.chats)
 
 
 def claim_policy(
     settings: settings_module.ClaimSettings,
 ) -> claims_module.ClaimPolicy:
-    """Returns how claims are kept."""
+    """Returns the policy for storing claims."""
     return claims_module.ClaimPolicy(
         shards=settings.shards,
         retention=settings.retention_seconds,
@@ -113,7 +114,7 @@
 def order_policy(
     settings: settings_module.OrderSettings,
 ) -> orders_module.OrderPolicy:
-    """Returns how orders are sent."""
+    """Returns the policy for sending orders to engines."""
     return orders_module.OrderPolicy(
         interval=settings.interval_seconds,
         loads_at_once=settings.loads_at_once,
@@ -128,7 +129,7 @@
 def answer_limits(
     settings: settings_module.AnswerSettings,
 ) -> http_limits.AnswerLimits:
-    """Returns the limits on the answers of upstreams."""
+    """Returns the limits on responses from upstreams."""
     return http_limits.AnswerLimits(
         event_bytes=settings.max_event_bytes,
         whole_bytes=settings.max_whole_bytes,
@@ -139,7 +140,7 @@
 def dispatch_settings(
     settings: settings_module.RouterSettings,
 ) -> dispatch.DispatchSettings:
-    """Returns the times and sizes of the request path."""
+    """Returns the timeouts and size limits of the request path."""
     answers = settings.answers
     attempts = settings.attempts
     return dispatch.DispatchSettings(
--- a/lavenderbend/daemon/demo.py
+++ b/lavenderbend/daemon/demo.py
@@ -1,4 +1,4 @@
-"""A small fleet under load in one process, with a report of what it did."""
+"""Runs a small fleet under load in one process and measures it."""
 
 from __future__ import annotations
 
@@ -26,36 +26,39 @@
     from lavenderbend.transport import operator_client
 
 SETTLE_SECONDS = 1.5
-QUIET_SECONDS = 0.2
+SERVER_SHUTDOWN_SECONDS = 0.2
 PROGRESS_SECONDS = 1.0
-# shares of the load's time at which things happen
-LEAVE_AT = 0.4
-CHANGE_AT = 0.6
-STOP_AT = 0.5
-DECISIONS_LOOKED_AT = 1000
+# fractions of the load's duration at which the demo changes the fleet
+ENGINE_LEAVE_FRACTION = 0.4
+RULE_CHANGE_FRACTION = 0.6
+ROUTER_STOP_FRACTION = 0.5
+DECISION_LIMIT = 1000
 
 
 class Demo:
     """One demo in progress.
 
     Attributes:
-        plan: What it does.
-        note: Shows a line of progress.
-        report: What it has measured so far.
+        plan: Settings of the demo.
+        write_progress: Writes a line of progress.
+        report: Measurements so far.
+        sites: Deployments that take part.
+        documents: Configuration of each site, in the order of `sites`.
+        load_started_at: Trio clock at the start of the load.
     """
 
     def __init__(
-        self, plan: demo_report.DemoPlan, note: Callable[[str], None]
+        self, plan: demo_report.DemoPlan, write_progress: Callable[[str], None]
     ) -> None:
         self.plan = plan
-        self.note = note
+        self.write_progress = write_progress
         self.report = demo_report.DemoReport(plan)
-        self.sites = demo_sites.chosen(plan.deployment)
+        self.sites = demo_sites.select_sites(plan.deployment)
         self.documents = [demo_sites.load_document(s) for s in self.sites]
-        self.began = 0.0
+        self.load_started_at = 0.0
 
     async def run(self) -> demo_report.DemoReport:
-        """Starts everything, sends the load, and measures."""
+        """Starts the fleet, sends the load and returns the measurements."""
         async with trio.open_nursery() as standins:
             async with trio.open_nursery() as routers:
                 fleet = demo_fleet.DemoFleet(
@@ -63,57 +66,65 @@
                 )
                 await self.run_fleet(fleet)
                 routers.cancel_scope.cancel()
-            # a server that is cancelled while it sends the head of an answer
-            # ends in an error of its own; no router asks any more
-            await trio.sleep(QUIET_SECONDS)
+            # a server that is cancelled while it sends response headers
+            # raises an error of its own; no router sends requests any more,
+            # so the remaining responses end within this delay
+            await trio.sleep(SERVER_SHUTDOWN_SECONDS)
             standins.cancel_scope.cancel()
         return self.report
 
     async def run_fleet(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Starts the fleet, sends the load, and looks back."""
-        self.note(
+        """Starts the fleet, sends the load and collects the results."""
+        self.write_progress(
             f'starting {demo_fleet.ROUTERS} routers, '
             f'{sum(s.engines for s in self.sites)} engines, '
             f'{sum(s.services for s in self.sites)} plain services'
         )
         await fleet.start()
-        await self.accept(fleet)
+        await self.apply_first_configuration(fleet)
         await trio.sleep(SETTLE_SECONDS)
         await self.send_load(fleet)
-        await self.look_back(fleet)
+        await self.collect_results(fleet)
 
-    def event(self, text: str) -> None:
-        """Notes something that happened."""
-        at = trio.current_time() - self.began
+    def record_event(self, text: str) -> None:
+        """Adds an event to the report and writes it as progress."""
+        at = trio.current_time() - self.load_started_at
         self.report.events.append((round(at, 2), text))
-        self.note(f'{at:6.1f} s  ** {text}')
+        self.write_progress(f'{at:6.1f} s  ** {text}')
 
-    async def accept(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Has the first configuration accepted."""
-        document = demo_sites.join(self.documents)
+    async def apply_first_configuration(
+        self, fleet: demo_fleet.DemoFleet
+    ) -> None:
+        """Applies the first configuration to the fleet."""
+        document = demo_sites.merge_configurations(self.documents)
         async with fleet.operator() as client:
-            answer = await apply(client, document, 0, 'first configuration')
-        self.note(
-            f'revision {answer["number"]} with {len(document.rules)} rules '
-            f'is in force on every router after {answer["seconds"]} s'
+            response = await post_configuration(
+                client, document, 0, 'first configuration'
+            )
+        self.write_progress(
+            f'revision {response["number"]} with {len(document.rules)} rules '
+            f'is in force on every router after {response["seconds"]} s'
         )
 
     async def send_load(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Sends the load while things happen."""
-        self.began = trio.current_time()
+        """Sends the load and changes the fleet meanwhile.
+
+        An engine leaves, the rules change and a router stops.
+        """
+        self.load_started_at = trio.current_time()
         sampler = demo_samples.Sampler(fleet)
-        async with trio.open_nursery() as around:
-            around.start_soon(sampler.run)
-            around.start_soon(self.show_progress, fleet)
+        async with trio.open_nursery() as background:
+            background.start_soon(sampler.run)
+            background.start_soon(self.show_progress, fleet)
             async with trio.open_nursery() as nursery:
                 for site, document in zip(
                     self.sites, self.documents, strict=True
                 ):
                     nursery.start_soon(self.send_site, fleet, site, document)
-                nursery.start_soon(self.engine_leaves, fleet)
-                nursery.start_soon(self.rules_change, fleet)
-                nursery.start_soon(self.router_stops, fleet)
-            around.cancel_scope.cancel()
+                nursery.start_soon(self.remove_engine, fleet)
+                nursery.start_soon(self.change_rules, fleet)
+                nursery.start_soon(self.stop_router, fleet)
+            background.cancel_scope.cancel()
         self.report.skews = sampler.skews()
         self.report.control = sampler.control()
 
@@ -128,33 +139,33 @@
             site, document, self.plan.seconds, self.plan.seed
         )
 
-        def keep(result: results.LoadResult) -> None:
+        def store_result(result: results.LoadResult) -> None:
             self.report.loads[site.name] = result
 
         self.report.loads[site.name] = await load.run_load(
             plan,
             fleet.caller_urls(),
             engine_texts.answer_text,
-            keep,
+            store_result,
             PROGRESS_SECONDS / 2,
         )
 
     async def show_progress(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Shows a line each second."""
+        """Writes a line of progress each second, until cancelled."""
         surging = False
         while True:
             await trio.sleep(PROGRESS_SECONDS)
-            at = trio.current_time() - self.began
-            now_surging = 0.35 <= at / self.plan.seconds < 0.65
-            if now_surging != surging:
-                surging = now_surging
+            at = trio.current_time() - self.load_started_at
+            surge_active = 0.35 <= at / self.plan.seconds < 0.65
+            if surge_active != surging:
+                surging = surge_active
                 names = ', '.join(n for s in self.sites for n in s.surge)
                 verb = 'surge' if surging else 'calm down'
-                self.event(f'{names} {verb}')
-            self.note(f'{at:6.1f} s  {self.progress_line(fleet)}')
+                self.record_event(f'{names} {verb}')
+            self.write_progress(f'{at:6.1f} s  {self.progress_line(fleet)}')
 
     def progress_line(self, fleet: demo_fleet.DemoFleet) -> str:
-        """Returns counts so far and the load of each engine."""
+        """Returns call counts so far and the load of each engine."""
         parts = []
         for site in self.sites:
             result = self.report.loads.get(site.name)
@@ -165,26 +176,26 @@
                     f'{result.cut} cut, {result.refused} refused'
                 )
             loads = ' '.join(
-                'out' if w.engine.draining else str(w.load)
-                for w in fleet.workers
-                if w.site == site.name
+                'out' if e.standin.draining else str(e.load)
+                for e in fleet.engines
+                if e.site == site.name
             )
             parts.append(f'{site.name}: {counts}; engines {loads}')
         return ' | '.join(parts)
 
-    async def engine_leaves(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Takes one engine out, as the platform does."""
-        await trio.sleep(LEAVE_AT * self.plan.seconds)
-        worker = fleet.workers[0]
-        self.event(f'engine {worker.vm.id} leaves')
-        fleet.vms.set_state(worker.vm.id, upstreams.VmState.LEAVING)
-        watch = demo_samples.LeavingWatch(worker)
-        self.report.leaving = await watch.run()
-
-    async def rules_change(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Has a change of the rules accepted under load."""
-        await trio.sleep(CHANGE_AT * self.plan.seconds)
-        document = demo_sites.join(self.documents)
+    async def remove_engine(self, fleet: demo_fleet.DemoFleet) -> None:
+        """Marks one engine as leaving in the VM list, as the platform does."""
+        await trio.sleep(ENGINE_LEAVE_FRACTION * self.plan.seconds)
+        engine = fleet.engines[0]
+        self.record_event(f'engine {engine.vm.id} leaves')
+        fleet.vms.set_state(engine.vm.id, upstreams.VmState.LEAVING)
+        monitor = demo_samples.LeavingMonitor(engine)
+        self.report.leaving = await monitor.run()
+
+    async def change_rules(self, fleet: demo_fleet.DemoFleet) -> None:
+        """Applies a changed rule under load."""
+        await trio.sleep(RULE_CHANGE_FRACTION * self.plan.seconds)
+        document = demo_sites.merge_configurations(self.documents)
         first, *others = document.rules
         then = attrs.evolve(first.then, timeout=first.then.timeout + 1)
         changed = attrs.evolve(
@@ -192,30 +203,36 @@
         )
         try:
             async with fleet.operator() as client:
-                answer = await apply(client, changed, 1, 'more time')
+                response = await post_configuration(
+                    client, changed, 1, 'more time'
+                )
         except errors.OperatorError as exc:
-            self.event(f'the change was not accepted: {exc}')
+            self.record_event(f'the change was not accepted: {exc}')
             return
-        missing = ', '.join(answer['missing']) or 'nobody'
-        self.report.in_force_seconds = answer['seconds']
-        self.event(
-            f'revision {answer["number"]} in force after '
-            f'{answer["seconds"]} s, missing: {missing}'
+        missing = ', '.join(response['missing']) or 'nobody'
+        self.report.in_force_seconds = response['seconds']
+        self.record_event(
+            f'revision {response["number"]} in force after '
+            f'{response["seconds"]} s, missing: {missing}'
         )
 
-    async def router_stops(self, fleet: demo_fleet.DemoFleet) -> None:
+    async def stop_router(self, fleet: demo_fleet.DemoFleet) -> None:
         """Stops one router gracefully."""
-        await trio.sleep(STOP_AT * self.plan.seconds)
+        await trio.sleep(ROUTER_STOP_FRACTION * self.plan.seconds)
         daemon = fleet.routers[-1]
-        self.event(f'{daemon.settings.id} begins to stop')
-        started = trio.current_time()
+        self.record_event(f'{daemon.settings.id} begins to stop')
+        stop_started = trio.current_time()
         daemon.stop()
         await daemon.stopped.wait()
-        self.report.router_stop_seconds = trio.current_time() - started
-        self.event(f'{daemon.settings.id} has stopped')
+        self.report.router_stop_seconds = trio.current_time() - stop_started
+        self.record_event(f'{daemon.settings.id} has stopped')
+
+    async def collect_results(self, fleet: demo_fleet.DemoFleet) -> None:
+        """Counts runs in the plain services' records and picks a decision.
 
-    async def look_back(self, fleet: demo_fleet.DemoFleet) -> None:
-        """Checks the upstreams' own records and picks a decision."""
+        The decision with the most attempts is picked, and of those the one
+        with the most candidates that were passed over.
+        """
         runs: collections.Counter[str] = collections.Counter()
         for service in fleet.services:
             for record in service.log.records:
@@ -228,24 +245,31 @@
                 for key, ran in result.once_keys.items()
             )
         async with fleet.operator() as client:
-            found = await client.get('/v1/decisions', limit=DECISIONS_LOOKED_AT)
-        self.report.decision = max(found, key=interest, default=None)
+            decisions = await client.get('/v1/decisions', limit=DECISION_LIMIT)
+        self.report.decision = max(decisions, key=detail_counts, default=None)
 
 
-def interest(decision: dict[str, Any]) -> tuple[int, int]:
-    """Returns how much there is to see in a decision."""
+def detail_counts(decision: dict[str, Any]) -> tuple[int, int]:
+    """Returns the numbers of attempts and of passed over candidates."""
     attempts = decision['attempts']
-    passed = sum(len(attempt['passed_over']) for attempt in attempts)
-    return len(attempts), passed
+    passed_over = sum(len(attempt['passed_over']) for attempt in attempts)
+    return len(attempts), passed_over
 
 
-async def apply(
+async def post_configuration(
     client: operator_client.OperatorClient,
     document: Any,
     seen: int,
     reason: str,
 ) -> dict[str, Any]:
-    """Has a configuration accepted through the operators' interface."""
+    """Applies a configuration through the operators' interface.
+
+    Args:
+        client: Client of the operators' interface.
+        document: The configuration.
+        seen: Revision that it replaces.
+        reason: Reason for the revision history.
+    """
     text = documents_yaml.dump_configuration(document)
     return await client.post(
         '/v1/rules/apply',
--- a/lavenderbend/daemon/demo_fleet.py
+++ b/lavenderbend/daemon/demo_fleet.py
@@ -1,4 +1,4 @@
-"""Routers, upstreams and the platform of a demo, in one process."""
+"""Routers, upstreams and platform services of a demo, in one process."""
 
 from __future__ import annotations
 
@@ -28,45 +28,45 @@
 HOST = '127.0.0.1'
 ROUTERS = 3
 VM_LIST_LAG_SECONDS = 1.0
-# callers give up idle connections within this time, so that none of them
-# is closed under a call that is just being sent
+# callers close idle connections within this time, so the router closes none
+# on which a call is being sent
 GRACE_SECONDS = 5.0
 STREAM_SECONDS = 60.0
 SALT = '00112233aabbccdd'
 
 
 @attrs.define(eq=False)
-class Worker:
+class DemoEngine:
     """One engine of a demo.
 
     Attributes:
-        vm: Its line in the VM list.
-        engine: The stand-in.
+        vm: Its entry in the VM list.
+        standin: The stand-in engine.
         site: Name of its deployment.
     """
 
     vm: upstreams.Vm
-    engine: engine_core.Engine
+    standin: engine_core.Engine
     site: str
 
     @property
     def load(self) -> int:
-        """Requests that it has taken and not finished."""
-        return len(self.engine.running) + len(self.engine.waiting)
+        """Requests that it runs or that wait in its queue."""
+        return len(self.standin.running) + len(self.standin.waiting)
 
 
 class DemoFleet:
-    """Everything that a demo runs.
+    """The routers, upstreams and platform services of a demo.
 
     Attributes:
         sites: The deployments.
-        seed: Seed of everything random.
-        nursery: Where the platform and the upstreams run.
-        router_nursery: Where the routers run.
+        seed: Seed of all random choices.
+        nursery: Runs the platform services and the upstreams.
+        router_nursery: Runs the routers.
         store: The stand-in of the key-value service.
         vms: The stand-in of the VM list.
         weights: The stand-in of the weight store.
-        workers: The engines.
+        engines: The engines.
         services: The plain services.
         routers: The routers.
     """
@@ -85,12 +85,12 @@
         self.store = key_value.MemoryStore(random.Random(seed))
         self.vms = vm_list.VmListStandIn(lag=VM_LIST_LAG_SECONDS)
         self.weights = weight_store.WeightStore()
-        self.workers: list[Worker] = []
+        self.engines: list[DemoEngine] = []
         self.services: list[plain_service.PlainService] = []
         self.routers: list[router.RouterDaemon] = []
 
     async def start(self) -> None:
-        """Starts the platform, the upstreams, then the routers."""
+        """Starts the platform services, the upstreams, then the routers."""
         start = self.nursery.start
         store_url = await start(key_value.serve, HOST, 0, self.store)
         list_port = await start(vm_list.serve, HOST, 0, self.vms)
@@ -101,7 +101,7 @@
             vms += await self.start_services(site)
         self.routers = self.make_routers(store_url, list_port)
         vms += [daemon.vm for daemon in self.routers]
-        # what is there before the routers start shows without the lag
+        # VMs that exist before the routers start are listed without the lag
         self.vms.newest = {vm.id: vm for vm in vms}
         self.vms.shown = dict(self.vms.newest)
         async with trio.open_nursery() as starting:
@@ -109,11 +109,11 @@
                 starting.start_soon(self.router_nursery.start, daemon.run)
 
     async def start_engines(self, site: demo_sites.Site) -> list[upstreams.Vm]:
-        """Starts a site's engines and returns their lines."""
-        found = []
+        """Starts a site's engines and returns their VM list entries."""
+        vms = []
         for index in range(site.engines):
             name = f'{site.engine_service}-{index + 1}'
-            served = engine_core.Engine(
+            standin = engine_core.Engine(
                 engine_core.EngineSettings(
                     name=name,
                     models=(site.model,),
@@ -122,8 +122,8 @@
                     seed=self.seed * 1000 + index,
                 )
             )
-            port = await self.nursery.start(engine.serve, HOST, 0, served)
-            vm = self.line(
+            port = await self.nursery.start(engine.serve, HOST, 0, standin)
+            vm = self.make_vm(
                 site,
                 index,
                 name,
@@ -131,24 +131,24 @@
                 site.engine_service,
                 upstreams.UpstreamKind.ENGINE,
             )
-            self.workers.append(Worker(vm, served, site.name))
-            found.append(vm)
-        return found
+            self.engines.append(DemoEngine(vm, standin, site.name))
+            vms.append(vm)
+        return vms
 
     async def start_services(self, site: demo_sites.Site) -> list[upstreams.Vm]:
-        """Starts a site's plain services and returns their lines."""
-        found = []
+        """Starts a site's plain services and returns their VM list entries."""
+        vms = []
         for index in range(site.services):
             name = f'{site.plain_service}-{index + 1}'
-            served = plain_service.PlainService(
+            standin = plain_service.PlainService(
                 plain_service.PlainSettings(name=name, seed=self.seed)
             )
             port = await self.nursery.start(
-                plain_service.serve, HOST, 0, served
+                plain_service.serve, HOST, 0, standin
             )
-            self.services.append(served)
-            found.append(
-                self.line(
+            self.services.append(standin)
+            vms.append(
+                self.make_vm(
                     site,
                     index,
                     name,
@@ -157,9 +157,9 @@
                     upstreams.UpstreamKind.SERVICE,
                 )
             )
-        return found
+        return vms
 
-    def line(
+    def make_vm(
         self,
         site: demo_sites.Site,
         index: int,
@@ -168,7 +168,7 @@
         service: str,
         kind: upstreams.UpstreamKind,
     ) -> upstreams.Vm:
-        """Returns the VM list's line of an upstream."""
+        """Returns the VM list entry of an upstream."""
         zones = site.availability_zones
         zone = zones[index % len(zones)]
         return upstreams.Vm(name, HOST, port, zone, service, kind)
@@ -182,7 +182,7 @@
         zones = self.sites[0].availability_zones
         daemons = []
         for index, port in enumerate(free_ports(ROUTERS)):
-            item = settings.RouterSettings(
+            router_settings = settings.RouterSettings(
                 id=f'router-{index + 1}',
                 availability_zone=zones[index % len(zones)],
                 key_value=settings.KeyValueSettings(
@@ -201,11 +201,11 @@
                 stop=settings.StopSettings(GRACE_SECONDS, STREAM_SECONDS),
                 seed=self.seed + index,
             )
-            daemons.append(router.RouterDaemon(item))
+            daemons.append(router.RouterDaemon(router_settings))
         return daemons
 
     def caller_urls(self) -> list[str]:
-        """Returns where callers reach the routers."""
+        """Returns the base URLs at which callers reach the routers."""
         return [f'http://{HOST}:{r.caller_port}' for r in self.routers]
 
     def operator(self, index: int = 0) -> operator_client.OperatorClient:
@@ -217,16 +217,16 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that nobody listens at now.
+    """Returns ports of this host that are free now.
 
-    Peers must know each other's ports before they bind them, so these
-    cannot be left to the system at the time of binding.
+    The VM list contains the routers' peer ports before the routers bind
+    them, so the system cannot assign these ports at the time of binding.
     """
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for item in sockets:
-            item.bind((HOST, 0))
-        return [item.getsockname()[1] for item in sockets]
+        for listener in sockets:
+            listener.bind((HOST, 0))
+        return [listener.getsockname()[1] for listener in sockets]
     finally:
-        for item in sockets:
-            item.close()
+        for listener in sockets:
+            listener.close()
--- a/lavenderbend/daemon/demo_report.py
+++ b/lavenderbend/daemon/demo_report.py
@@ -1,4 +1,4 @@
-"""What a demo does and what it measured."""
+"""The settings of a demo and its measurements."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @attrs.frozen
 class DemoPlan:
-    """What a demo does.
+    """Settings of a demo.
 
     Attributes:
         deployment: Name of a site, or `both`.
-        seconds: How long calls are begun.
-        seed: Seed of everything random.
+        seconds: Time during which calls are started.
+        seed: Seed of all random choices.
     """
 
     deployment: str = 'both'
@@ -30,20 +30,21 @@
 
 @attrs.define
 class DemoReport:
-    """What a demo measured.
+    """Measurements of a demo.
 
     Attributes:
-        plan: What it did.
-        events: What happened, with seconds from the start of the load.
-        loads: What became of the calls, by site.
-        skews: Evenness of the engines' load over time, by site.
-        control: Traffic between routers and with the platform.
-        leaving: What became of the engine that left.
-        router_stop_seconds: How long the graceful stop of a router took.
-        in_force_seconds: How long a change took to be in force everywhere.
-        once_runs: Non-idempotent calls by how often each ran.
-        told_not_run: Calls that were told "not run" and yet ran.
-        decision: One decision, as the operators' interface gives it.
+        plan: Settings of the demo.
+        events: Events, each with seconds from the start of the load.
+        loads: Outcomes of the calls, by site.
+        skews: Ratio of the largest to the mean engine load, by site.
+        control: Traffic between routers and with the key-value service.
+        leaving: Measurements of the engine that left.
+        router_stop_seconds: Duration of the graceful stop of a router.
+        in_force_seconds: Time until a changed revision was in force on all
+            routers.
+        once_runs: Number of non-idempotent calls by how often each ran.
+        told_not_run: Calls that ran although the reply said "not run".
+        decision: One decision, as the operators' interface returns it.
     """
 
     plan: DemoPlan
@@ -62,7 +63,11 @@
 
     @property
     def failed(self) -> bool:
-        """Whether anything broke what the fleet promises."""
+        """Whether a guarantee of the fleet was broken or no call succeeded.
+
+        The guarantees: no answer is wrong or cut off, no non-idempotent
+        call runs twice, and none runs that was reported as not run.
+        """
         broken = sum(r.wrong + r.cut for r in self.loads.values())
         twice = any(count > 1 for count in self.once_runs)
         nothing = not any(r.whole for r in self.loads.values())
--- a/lavenderbend/daemon/demo_samples.py
+++ b/lavenderbend/daemon/demo_samples.py
@@ -1,4 +1,4 @@
-"""What a demo measures while it runs."""
+"""Measurements that a demo takes while it runs."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
     from lavenderbend.daemon import demo_fleet
 
 SAMPLE_SECONDS = 0.05
-# with fewer requests than engines the ratio only says how few there are
-LEAST_MEAN_LOAD = 1.0
-LEAVING_SECONDS = 5.0
+# with fewer requests than engines the ratio of largest to mean load only
+# shows how few requests there are
+MIN_MEAN_LOAD = 1.0
+LEAVING_MONITOR_SECONDS = 5.0
 
 
 @attrs.frozen
 class Skew:
-    """Largest load of an engine against the mean, over time.
+    """Ratio of the largest engine load to the mean load, over time.
 
     Attributes:
         samples: Samples with a mean load of at least 1.
         mean: Mean of the ratio.
         p99: 99th percentile of the ratio.
-        highest_load: Largest load seen on one engine.
+        highest_load: Largest load of one engine in any sample.
         mean_load: Mean load of an engine.
     """
 
@@ -41,13 +42,13 @@
     """Control traffic of the fleet.
 
     Attributes:
-        seconds: How long it was measured.
+        seconds: Duration of the measurement.
         peer_bytes: Bytes a second that each router sent and received on
             the links to its peers, counted on the sockets.
         key_value_calls: Calls a second of the key-value service, all
-            routers together, a waiting watch as one.
-        key_value_bytes: Bytes a second of keys' values read and written,
-            all routers together.
+            routers together; a pending watch counts as one call.
+        key_value_bytes: Bytes a second of values read and written, all
+            routers together.
     """
 
     seconds: float
@@ -58,14 +59,14 @@
 
 @attrs.frozen
 class Leaving:
-    """What became of an engine that left.
+    """Measurements of an engine that left.
 
     Attributes:
         engine: VM id.
-        last_new_work: Seconds after its leaving at which it last got a new
-            request, None if it got none.
-        finished: Whether all its requests ended while it was watched.
-        cut: Requests of it that did not complete.
+        last_new_work: Seconds from its leaving to the last new request that
+            it received, None if it received none.
+        finished: Whether all its requests ended while it was monitored.
+        cut: Requests to it that did not complete.
     """
 
     engine: str
@@ -75,13 +76,17 @@
 
 
 class Sampler:
-    """Samples loads, and counts traffic from its start to its end.
+    """Samples engine loads and measures control traffic since its creation.
 
     Attributes:
-        fleet: What is measured.
+        fleet: The measured fleet.
         ratios: Largest load over mean load, by site.
         means: Mean loads, by site.
         highest: Largest load, by site.
+        started: Trio clock at which the measurement began.
+        initial_peer_bytes: Bytes of each router's links at that time.
+        initial_calls: Calls of the key-value service at that time.
+        initial_value_bytes: Bytes of its values at that time.
     """
 
     def __init__(self, fleet: demo_fleet.DemoFleet) -> None:
@@ -90,9 +95,9 @@
         self.means: dict[str, list[float]] = {}
         self.highest: dict[str, int] = {}
         self.started = trio.current_time()
-        self.first_bytes = self.peer_bytes()
-        self.first_calls = fleet.store.calls.total()
-        self.first_value_bytes = self.value_bytes()
+        self.initial_peer_bytes = self.peer_bytes()
+        self.initial_calls = fleet.store.calls.total()
+        self.initial_value_bytes = self.value_bytes()
 
     async def run(self) -> None:
         """Samples until cancelled."""
@@ -103,20 +108,20 @@
 
     def sample(self, site: str) -> None:
         """Takes one sample of a site's engines that are not leaving."""
-        leaving = self.leaving()
+        leaving = self.leaving_engines()
         loads = [
-            worker.load
-            for worker in self.fleet.workers
-            if worker.site == site and worker.vm.id not in leaving
+            engine.load
+            for engine in self.fleet.engines
+            if engine.site == site and engine.vm.id not in leaving
         ]
         mean = statistics.fmean(loads)
         self.means.setdefault(site, []).append(mean)
         self.highest[site] = max(self.highest.get(site, 0), *loads)
-        if mean >= LEAST_MEAN_LOAD:
+        if mean >= MIN_MEAN_LOAD:
             self.ratios.setdefault(site, []).append(max(loads) / mean)
 
-    def leaving(self) -> set[str]:
-        """Returns the engines that are on their way out."""
+    def leaving_engines(self) -> set[str]:
+        """Returns the ids of VMs that are not live in the VM list."""
         live = 'live'
         return {
             vm.id
@@ -134,7 +139,7 @@
         }
 
     def peer_bytes(self) -> dict[str, int]:
-        """Returns bytes of each router's links so far."""
+        """Returns the bytes sent and received on each router's links."""
         return {
             daemon.settings.id: daemon.link.bytes_sent
             + daemon.link.bytes_received
@@ -142,20 +147,20 @@
         }
 
     def value_bytes(self) -> int:
-        """Returns bytes of values read and written so far."""
+        """Returns the bytes of values read and written so far."""
         return self.fleet.store.bytes_read + self.fleet.store.bytes_written
 
     def control(self) -> Control:
         """Returns the control traffic since the start."""
         seconds = trio.current_time() - self.started
-        now = self.peer_bytes()
-        calls = self.fleet.store.calls.total() - self.first_calls
-        value_bytes = self.value_bytes() - self.first_value_bytes
+        current = self.peer_bytes()
+        calls = self.fleet.store.calls.total() - self.initial_calls
+        value_bytes = self.value_bytes() - self.initial_value_bytes
         return Control(
             seconds,
             {
-                name: (now[name] - first) / seconds
-                for name, first in self.first_bytes.items()
+                name: (current[name] - initial) / seconds
+                for name, initial in self.initial_peer_bytes.items()
             },
             calls / seconds,
             value_bytes / seconds,
@@ -163,7 +168,7 @@
 
 
 def summarise(ratios: list[float], means: list[float], highest: int) -> Skew:
-    """Returns the figures of one site's samples."""
+    """Returns the skew statistics of one site's samples."""
     ratios = sorted(ratios) or [0.0]
     return Skew(
         samples=len(ratios),
@@ -174,27 +179,27 @@
     )
 
 
-class LeavingWatch:
-    """Watches an engine from the time it leaves.
+class LeavingMonitor:
+    """Monitors an engine from the time it leaves.
 
     Attributes:
-        worker: The engine.
+        engine: The engine.
     """
 
-    def __init__(self, worker: demo_fleet.Worker) -> None:
-        self.worker = worker
+    def __init__(self, engine: demo_fleet.DemoEngine) -> None:
+        self.engine = engine
 
     async def run(self) -> Leaving:
-        """Watches for some seconds."""
-        log = self.worker.engine.log
+        """Waits `LEAVING_MONITOR_SECONDS` and returns the measurements."""
+        log = self.engine.standin.log
         started = trio.current_time()
-        before = len(log.records)
-        await trio.sleep(LEAVING_SECONDS)
-        new = log.records[before:]
-        last = max((record.started for record in new), default=None)
+        record_count = len(log.records)
+        await trio.sleep(LEAVING_MONITOR_SECONDS)
+        new_records = log.records[record_count:]
+        last = max((record.started for record in new_records), default=None)
         return Leaving(
-            self.worker.vm.id,
+            self.engine.vm.id,
             None if last is None else last - started,
-            self.worker.load == 0,
+            self.engine.load == 0,
             sum(r.result == 'crashed' for r in log.records),
         )
--- a/lavenderbend/daemon/demo_sites.py
+++ b/lavenderbend/daemon/demo_sites.py
@@ -1,4 +1,4 @@
-"""The two deployments at the sizes of today, for demos."""
+"""The two deployments at their current sizes, for demos."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
     Attributes:
         name: Name of its examples and of its load mix.
-        availability_zones: In order.
+        availability_zones: Zones, given in turn to its VMs.
         engine_service: Service of its engines.
-        model: Model that they serve.
-        engines: How many.
+        model: Model that its engines serve.
+        engines: Number of engines.
         step_seconds: Time of one step of an engine.
-        plain_service: Its plain service.
-        services: Workers of that.
-        checks_fencing: Whether its engines refuse old fencing numbers.
-        surge: Customers that surge together.
+        plain_service: Name of its plain service.
+        services: Number of instances of its plain service.
+        checks_fencing: Whether its engines refuse old fencing tokens.
+        surge: Customers whose traffic rises during the surge.
         rate: Calls a second outside of the surge.
-        surge_factor: Traffic of the surging customers against the usual.
+        surge_factor: Factor by which the traffic of these customers rises.
     """
 
     name: str
@@ -86,7 +86,7 @@
 )
 
 
-def chosen(deployment: str) -> list[Site]:
+def select_sites(deployment: str) -> list[Site]:
     """Returns the sites of one deployment, or of `both`."""
     if deployment == 'both':
         return [SITES.get(name) for name in SITES]
@@ -94,18 +94,18 @@
 
 
 def load_document(site: Site) -> configuration.Configuration:
-    """Returns the configuration in a site's example."""
+    """Returns the configuration of a site, from its example files."""
     path = EXAMPLES / site.name / 'rules.yaml'
     return documents_yaml.load_configuration(path)
 
 
-def join(
+def merge_configurations(
     documents: Sequence[configuration.Configuration],
 ) -> configuration.Configuration:
     """Returns one configuration for several deployments.
 
-    Rules without a customer get those of their own document, so that no
-    rule of one deployment takes requests of the other.
+    Rules without a customer get all customers of their own document, so
+    that no rule of one deployment matches requests of another.
     """
     if len(documents) == 1:
         return documents[0]
@@ -131,7 +131,7 @@
     seconds: float,
     seed: int,
 ) -> plans.LoadPlan:
-    """Returns the load of a site, with its surge in the middle."""
+    """Returns the load plan of a site, with its surge in the middle."""
     customers = tuple(
         plans.LoadCustomer(customer.name, CREDENTIAL_PREFIX + customer.name)
         for customer in document.customers
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -1,4 +1,4 @@
-"""One forwarding router: the parts of the library put together and run."""
+"""Assembles one forwarding router from the library and runs it."""
 
 from __future__ import annotations
 
@@ -42,44 +42,47 @@
     from lavenderbend.state import settings as settings_module
     from lavenderbend.transport import forwarding_operators
 
-# idle connections to upstreams that would not be used again are closed
-SWEEP_SECONDS = 1.0
-# what is left of the time for a stop when the last requests are cut
+# interval at which state of removed upstreams is deleted and idle
+# connections that would not be used again are closed
+CLEANUP_SECONDS = 1.0
+# the last requests are cut off this long before the time for a graceful
+# stop ends
 STOP_MARGIN_SECONDS = 0.3
-NEEDS_RESTART = ('listen', 'readiness_path', 'headers')
+# settings that take effect only after a restart
+RESTART_SETTINGS = ('listen', 'readiness_path', 'headers')
 
 
 class ForwardingDaemon:
     """One forwarding router process.
 
     Attributes:
-        settings: What the router was told at its start.
+        settings: Settings read at the start of the router.
         snapshots: Configuration and upstreams in force.
         forwarder: The request path.
-        callers: The callers' server.
-        readiness: The balancer's server.
-        operators: The operators' server, None without a credential.
+        callers: Server for callers.
+        readiness: Server for the load balancer's readiness checks.
+        operators: Server for operators, None without a credential.
         stopping: Set to begin a graceful stop.
     """
 
     def __init__(self, settings: settings_module.RouterSettings) -> None:
-        """Makes a router that does nothing until `run`."""
+        """Creates a router that is inactive until `run`."""
         self.settings = settings
         self.forwarding = settings.forwarding
         self.rng = random.Random(settings.seed)  # noqa: S311 - jitter only
         self.stopping = trio.Event()
-        self.make_knowledge()
-        self.make_path()
+        self.make_state()
+        self.make_request_path()
         self.make_servers()
         self.operators = self.make_operators()
         if settings.tracing.otlp_endpoint is not None:
-            # its libraries are loaded only where spans go somewhere
+            # its libraries are loaded only where spans are exported
             from lavenderbend.coordination.forwarding import request_spans
 
             self.forwarder.tracer = request_spans.Tracer()
 
-    def make_knowledge(self) -> None:
-        """Makes what knows the configuration, upstreams and their loads."""
+    def make_state(self) -> None:
+        """Creates what tracks the configuration, the upstreams and their load."""
         settings = self.settings
         self.store = store.PlatformStore(
             settings.key_value.endpoints[0], settings.key_value.timeout_seconds
@@ -110,8 +113,8 @@
             self.rng,
         )
 
-    def make_path(self) -> None:
-        """Makes what requests go through."""
+    def make_request_path(self) -> None:
+        """Creates the components of the request path."""
         settings = self.forwarding
         self.exchanges = upstream_exchanges.UpstreamExchanges()
         self.crashes = crashes.CrashDetector(
@@ -134,7 +137,7 @@
             suspicions.SUSPECTED: self.suspicions.apply_suspicion,
         }
         self.budget = budget.RetryBudget(
-            repeat_settings(settings), self.peers.budget_divisor
+            retry_budget_settings(settings), self.peers.budget_divisor
         )
         self.forwarder = forwarder.Forwarder(
             request_resolver.RequestResolver(
@@ -176,7 +179,7 @@
         self.forwarder.fleet_size = self.peers.fleet_size
 
     def make_servers(self) -> None:
-        """Makes what callers and the balancer speak to."""
+        """Creates the servers for callers and the load balancer."""
         self.callers = caller_server.CallerServer(
             self.forwarder.forward,
             self.caller_limits,
@@ -191,53 +194,54 @@
     ) -> forwarding_operators.ForwardingOperators | None:
         """Returns the operators' interface, None without a credential.
 
-        Without a credential nobody could call it, and the decisions that it
-        shows would be kept for nothing.
+        Without a credential no operator could call it, and no decisions need
+        to be recorded for it.
         """
         settings = self.settings
         if not settings.operators.credential:
             return None
-        # its libraries take 15 MB of resident set, measured at their import,
-        # that other routers do without
+        # importing its libraries adds 15 MB of resident set size, which
+        # routers without operators do not need
         from lavenderbend.transport import forwarding_operators
 
-        kept = decisions.DecisionStore(settings.decisions.capacity)
-        self.forwarder.decisions = kept
+        decision_store = decisions.DecisionStore(settings.decisions.capacity)
+        self.forwarder.decisions = decision_store
         return forwarding_operators.ForwardingOperators(
             settings,
             self.forwarder.resolver,
             self.forwarder.chooser,
             self.peers,
-            kept,
+            decision_store,
         )
 
     def note_suspected(self, instance: str, seconds: float) -> None:
-        """Avoids an upstream that other routers found dead.
+        """Avoids an upstream that other routers suspect to be dead.
 
-        Not one that this router has just heard: the others may be cut off.
+        An upstream from which this router has received bytes recently is
+        not avoided: the other routers may be cut off from it.
         """
         if not self.silence.received_within(instance, silence.SILENT_SECONDS):
             self.health.note_suspected(instance, seconds)
 
     def caller_limits(self) -> forwarding_state.CallerLimits:
-        """Returns the limits of callers that are in force."""
+        """Returns the caller limits in force."""
         table = self.snapshots.table
         if table is None:
             return forwarding_state.CallerLimits()
         return table.limits
 
     def ready(self) -> bool:
-        """Returns whether the balancer should send callers here."""
+        """Returns whether the load balancer should send callers here."""
         if self.stopping.is_set() or self.snapshots.table is None:
             return False
         return self.snapshots.may_serve_credentials()
 
     def reload(self, settings: settings_module.RouterSettings) -> None:
-        """Takes over settings that may change while the router runs.
+        """Applies the settings that may change while the router runs.
 
-        Those are the addresses of other routers and the bounds of
-        freshness, repeats and load; the rest needs a new start, and the
-        line names it.
+        These are the addresses of other routers and the bounds on the age
+        of the configuration, on retries and on load. The other settings
+        need a restart; the log line names those that have changed.
         """
         forwarding = settings.forwarding
         if forwarding is None:
@@ -248,14 +252,14 @@
         ]
         self.snapshots.settings = follow_settings(forwarding)
         self.forwarder.resolver.apply_seconds = forwarding.apply_seconds
-        self.budget.settings = repeat_settings(forwarding)
+        self.budget.settings = retry_budget_settings(forwarding)
         self.forwarder.chooser.load_factor = forwarding.load_factor
-        restart = [
+        changed = [
             name
-            for name in NEEDS_RESTART
+            for name in RESTART_SETTINGS
             if getattr(forwarding, name) != getattr(self.forwarding, name)
         ]
-        logs.change('settings_reloaded', needs_restart=restart)
+        logs.change('settings_reloaded', needs_restart=changed)
 
     def stop(self) -> None:
         """Begins a graceful stop."""
@@ -264,7 +268,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Runs until a graceful stop has ended."""
+        """Runs until a graceful stop is complete."""
         listen = self.forwarding.listen
         async with trio.open_nursery() as nursery:
             await nursery.start(self.link.run)
@@ -272,7 +276,7 @@
             nursery.start_soon(self.peers.run)
             nursery.start_soon(self.crashes.run)
             nursery.start_soon(self.silence.run)
-            nursery.start_soon(self.tidy)
+            nursery.start_soon(self.remove_stale_state)
             await nursery.start(
                 self.readiness.serve, *address(listen.readiness)
             )
@@ -290,33 +294,34 @@
             )
             task_status.started()
             await self.stopping.wait()
-            await self.finish()
+            await self.shut_down()
             nursery.cancel_scope.cancel()
         self.exchanges.close()
         logs.change('router_stopped', router=self.settings.id)
 
-    async def finish(self) -> None:
-        """Stops without cutting off a request.
+    async def shut_down(self) -> None:
+        """Stops gracefully; requests that exceed the time for a stop are cut.
 
-        Readiness fails first, and callers that the balancer still sends
-        are served; each answer tells its caller to close the connection.
+        Readiness fails first, and callers that the load balancer still
+        sends are served; each response tells its caller to close the
+        connection.
         """
         stop = self.settings.stop
         logs.change('router_stopping', router=self.settings.id)
         self.callers.begin_stop()
         self.peers.leave()
-        left = stop.stream_seconds - STOP_MARGIN_SECONDS
-        with trio.move_on_after(left) as scope:
+        drain_seconds = stop.stream_seconds - STOP_MARGIN_SECONDS
+        with trio.move_on_after(drain_seconds) as scope:
             await trio.sleep(stop.balancer_grace_seconds)
             self.callers.close_idle()
             await self.callers.wait_empty()
         if scope.cancelled_caught:
             logs.change('requests_cut', count=len(self.callers.connections))
 
-    async def tidy(self) -> None:
-        """Forgets what is known of upstreams that are no more."""
+    async def remove_stale_state(self) -> None:
+        """Removes state of upstreams that no longer exist, until cancelled."""
         while True:
-            await trio.sleep(SWEEP_SECONDS)
+            await trio.sleep(CLEANUP_SECONDS)
             current = self.snapshots.current
             if current is None:
                 continue
@@ -329,16 +334,16 @@
 def follow_settings(
     forwarding: forwarding_settings.ForwardingSettings,
 ) -> snapshots.FollowSettings:
-    """Returns how the store is followed."""
-    # one read brings both the configuration and who leaves
+    """Returns the settings for reading the store."""
+    # one read returns both the configuration and the leaving upstreams
     seconds = min(forwarding.apply_seconds, forwarding.leave_seconds)
     return snapshots.FollowSettings(seconds, forwarding.revocation_seconds)
 
 
-def repeat_settings(
+def retry_budget_settings(
     forwarding: forwarding_settings.ForwardingSettings,
 ) -> budget.RetryBudgetSettings:
-    """Returns what the fleet may repeat."""
+    """Returns the settings of the fleet's retry budget."""
     return budget.RetryBudgetSettings(
         forwarding.repeat_share,
         forwarding.repeat_extra,
@@ -353,17 +358,17 @@
 
 
 async def handle_signals(daemon: ForwardingDaemon, path: str) -> None:
-    """Begins a graceful stop, or reads the settings again, at a signal."""
-    watched = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*watched) as received:
-        for number in early_signals.take(watched):
+    """Begins a graceful stop or reloads the settings at a signal."""
+    handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*handled_signals) as received:
+        for number in early_signals.take(handled_signals):
             handle_signal(daemon, path, number)
         async for number in received:
             handle_signal(daemon, path, number)
 
 
 def handle_signal(daemon: ForwardingDaemon, path: str, number: int) -> None:
-    """Does what a signal asks for."""
+    """Reloads the settings at SIGHUP, else begins a graceful stop."""
     if number == signal.SIGHUP:
         reload_settings(daemon, path)
     else:
@@ -371,7 +376,7 @@
 
 
 def reload_settings(daemon: ForwardingDaemon, path: str) -> None:
-    """Takes over what may change while the router runs."""
+    """Reads the settings file again and applies it if it is valid."""
     try:
         settings = documents_yaml.load_settings(path)
     except errors.DocumentErrors as exc:
@@ -384,11 +389,11 @@
 async def run_router(
     settings: settings_module.RouterSettings, path: str
 ) -> None:
-    """Runs one router process until it has stopped gracefully.
+    """Runs one router process until its graceful stop is complete.
 
     Args:
-        settings: What the router is told.
-        path: Where the settings are read again.
+        settings: Settings of the router.
+        path: File from which the settings are reloaded.
     """
     daemon = ForwardingDaemon(settings)
     async with trio.open_nursery() as nursery:
--- a/lavenderbend/daemon/router.py
+++ b/lavenderbend/daemon/router.py
@@ -1,4 +1,4 @@
-"""One router: the parts of the library put together and run."""
+"""Assembles one router from the library and runs it."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 if TYPE_CHECKING:
     from lavenderbend.state import settings as settings_module
 
-# of one router; today's seven together stay under the service's several
-# hundred writes and two thousand reads a second
+# limits of one router: seven routers together stay below the several hundred
+# writes and two thousand reads a second that the key-value service handles
 WRITES_PER_SECOND = 40.0
 READS_PER_SECOND = 200.0
-DRAIN_SECONDS = 5.0
+CLAIM_DRAIN_SECONDS = 5.0
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -48,21 +48,21 @@
     """One router process, or one of several in a demo.
 
     Attributes:
-        settings: What the router was told at its start.
-        rng: Source of jitter.
-        store: The key-value service.
-        link: Messages to other routers.
-        membership: Routers and upstreams.
-        configurations: The revision in force.
-        admission: Permits.
-        claims: At most once.
-        quarantine: Requests that crash upstreams.
-        orders: Desired state of engines.
-        limits: Limits of customers.
+        settings: Settings read at the start of the router.
+        rng: Random numbers for jitter.
+        store: Client of the key-value service.
+        link: Message link to other routers.
+        membership: Routers and upstreams of the fleet.
+        configurations: Follows the revision in force.
+        admission: Grants permits for upstreams.
+        claims: Ensures that non-idempotent requests run at most once.
+        quarantine: Blocks requests that crash upstreams.
+        orders: Sends engines their desired state.
+        limits: Enforces the limits of customers.
         dispatcher: The request path.
         decisions: The latest decisions.
-        caller_app: The callers' interface.
-        operator_app: The operators' interface.
+        caller_app: Interface for callers.
+        operator_app: Interface for operators.
         caller_port: Bound port for callers.
         operator_port: Bound port for operators.
         stopping: Set to begin a graceful stop.
@@ -74,16 +74,16 @@
         settings: settings_module.RouterSettings,
         peer_port: int | None = None,
     ) -> None:
-        """Makes a router that does nothing until `run`.
+        """Creates a router that is inactive until `run`.
 
         Args:
-            settings: What the router is told.
-            peer_port: The port that other routers see, if it is not the
-                one in the settings.
+            settings: Settings of the router.
+            peer_port: Port at which other routers reach this one, if it
+                differs from the settings.
 
         Raises:
-            PeerTlsRequired: Peers would be served beyond loopback without
-                TLS.
+            PeerTlsRequired: The peer address is not a loopback address and
+                TLS is not configured.
         """
         self.settings = settings
         self.rng = random.Random(settings.seed)  # noqa: S311 - jitter only
@@ -93,12 +93,12 @@
         self.operator_port = 0
         peers = settings.peers
         self.make_platform(peer_port or peers.advertised_port or peers.port)
-        self.make_placement()
-        self.make_agreed()
+        self.make_admission()
+        self.make_shared_state()
         self.make_servers()
 
     def make_platform(self, peer_port: int) -> None:
-        """Makes what speaks to the platform, peers and upstreams."""
+        """Creates the clients of the platform, of peers and of upstreams."""
         settings = self.settings
         self.vm = upstreams.Vm(
             id=settings.id,
@@ -129,11 +129,11 @@
     def budgeted(
         self, priority: call_budget.CallPriority
     ) -> call_budget.BudgetedStore:
-        """Returns the key-value service as a part of the router sees it."""
+        """Returns the key-value store limited by the call budget."""
         return call_budget.BudgetedStore(self.store, self.budget, priority)
 
-    def make_placement(self) -> None:
-        """Makes what decides where requests go, and who may send them."""
+    def make_admission(self) -> None:
+        """Creates the configuration follower, admission and customer limits."""
         settings = self.settings
         prefix = settings.key_value.prefix
         configuration_store = self.budgeted(
@@ -149,8 +149,9 @@
             settings.configuration.when_cut_off,
             settings.configuration.cut_off_seconds,
         )
-        # the follower's own log: a change accepted here just before the
-        # service goes down is in force here, and peers get it from here
+        # operators share the follower's log, so that a change accepted here
+        # just before the key-value service fails is in force on this router
+        # and peers receive it from this router
         self.configuration_log = self.configurations.log
         self.admission = admission_module.OwnerAdmission(
             settings.id,
@@ -160,14 +161,14 @@
             self.rng,
             adapters.admission_settings(settings.admission),
         )
-        # an owner that lacks the reports of an engine would never use it
+        # an owner without load reports of an engine would never choose it
         self.membership.poll_filter = self.admission.needs_report
         self.limits = limits_module.CustomerLimits(
             settings.id, self.link, self.membership, self.configurations
         )
 
-    def make_agreed(self) -> None:
-        """Makes what the routers agree on through the key-value service."""
+    def make_shared_state(self) -> None:
+        """Creates the components that share state in the key-value service."""
         settings = self.settings
         prefix = settings.key_value.prefix
         self.claims = claims_module.Claims(
@@ -200,7 +201,7 @@
         )
 
     def make_servers(self) -> None:
-        """Makes what callers and operators speak to."""
+        """Creates the request path and its interfaces."""
         settings = self.settings
         self.decisions = decisions_module.DecisionStore(
             settings.decisions.capacity
@@ -247,13 +248,13 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Runs until a graceful stop has ended.
+        """Runs until a graceful stop is complete.
 
         Args:
-            task_status: Told when callers can be served.
+            task_status: Started when callers can be served.
         """
         async with trio.open_nursery() as nursery:
-            self.start_parts(nursery)
+            self.start_components(nursery)
             operators_shutdown = trio.Event()
             self.operator_port = await nursery.start(
                 self.serve_operators, operators_shutdown
@@ -270,16 +271,16 @@
             )
             task_status.started()
             await self.stopping.wait()
-            await self.finish(callers_shutdown)
+            await self.shut_down(callers_shutdown)
             operators_shutdown.set()
             nursery.cancel_scope.cancel()
         await self.orderer.close()
         await self.upstream_client.aclose()
         logs.change('router_stopped', router=self.settings.id)
 
-    def start_parts(self, nursery: trio.Nursery) -> None:
-        """Starts the tasks of all parts."""
-        for part in (
+    def start_components(self, nursery: trio.Nursery) -> None:
+        """Starts the tasks of all components."""
+        for component in (
             self.link,
             self.membership,
             self.configurations,
@@ -289,13 +290,13 @@
             self.limits,
             self.orders,
         ):
-            nursery.start_soon(part.run)
+            nursery.start_soon(component.run)
         nursery.start_soon(self.follow_revisions)
 
     async def follow_revisions(self) -> None:
-        """Has membership look anew at what each revision asks for.
+        """Notifies membership of each new revision.
 
-        A new pool brings engines whose reports this router now needs.
+        A new pool may contain engines whose load reports this router needs.
         """
         number = 0
         while True:
@@ -303,14 +304,14 @@
             number = revision.number
             self.membership.notify_changed()
 
-    async def finish(self, callers_shutdown: trio.Event) -> None:
+    async def shut_down(self, callers_shutdown: trio.Event) -> None:
         """Stops without cutting off a request.
 
         Readiness fails first, and new connections are still served while
-        the balancer takes the router out: a router that closed its listener
-        at once would refuse callers that the balancer still sends. Peers
-        are told before the last requests end, so that what this router owns
-        moves while it can still answer.
+        the load balancer removes the router: a router that closed its
+        listener at once would refuse callers that the balancer still sends.
+        Peers are notified before the last requests end, so that ownership
+        moves to them while this router can still answer.
         """
         logs.change('router_stopping', router=self.settings.id)
         self.caller_app.begin_stop()
@@ -318,8 +319,9 @@
         callers_shutdown.set()
         await self.membership.leave()
         await self.stopped.wait()
-        # outcomes that are not yet recorded would be 'unknown' to copies
-        with trio.move_on_after(DRAIN_SECONDS):
+        # copies of a request would get 'unknown' for outcomes that are not
+        # recorded yet
+        with trio.move_on_after(CLAIM_DRAIN_SECONDS):
             await self.claims.drain()
 
     async def serve_callers(
@@ -327,7 +329,7 @@
         shutdown: trio.Event,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves callers; sets `stopped` when the last request has ended."""
+        """Serves callers and sets `stopped` when the last request has ended."""
         settings = self.settings
         await serving.serve(
             self.caller_app,
@@ -345,7 +347,7 @@
         shutdown: trio.Event,
         task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves operators, until after the last request of a caller."""
+        """Serves operators until the last request of a caller has ended."""
         settings = self.settings
         await serving.serve(
             self.operator_app.app,
@@ -367,7 +369,7 @@
 
 
 async def run_router(settings: settings_module.RouterSettings) -> None:
-    """Runs one router process until it has stopped gracefully."""
+    """Runs one router process until its graceful stop is complete."""
     daemon = RouterDaemon(settings)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(stop_on_signal, daemon)
--- a/lavenderbend/daemon/standins.py
+++ b/lavenderbend/daemon/standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins by kind, each with its settings, for the command line."""
+"""The registry of stand-ins, each with its settings class."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     """One kind of stand-in.
 
     Attributes:
-        summary: One line for the list of kinds.
-        default_port: Port that the examples expect.
-        settings: The attrs class of its settings file.
+        summary: Description in one line, for the command's usage text.
+        default_port: Port that the examples use.
+        settings: The attrs class of its settings.
     """
 
     summary: str
@@ -46,16 +46,27 @@
 
     @abc.abstractmethod
     async def serve(
-        self, host: str, port: int, item: S, task_status: trio.TaskStatus[Any]
+        self,
+        host: str,
+        port: int,
+        settings: S,
+        task_status: trio.TaskStatus[Any],
     ) -> None:
-        """Serves until cancelled; starts when the port is bound."""
+        """Serves until cancelled.
+
+        Args:
+            host: IP address to bind.
+            port: Port to bind, 0 for any.
+            settings: Settings of the stand-in.
+            task_status: Started when the port is bound.
+        """
 
 
 STANDINS: registry.Registry[type[StandIn]] = registry.Registry('stand-in')
 
 
-def load(kind: type[StandIn], path: str | pathlib.Path | None) -> Any:
-    """Returns the settings of a stand-in, the defaults without a file.
+def load_settings(kind: type[StandIn], path: str | pathlib.Path | None) -> Any:
+    """Returns the settings of a stand-in; the defaults if `path` is None.
 
     Raises:
         DocumentErrors: All faults of the file.
@@ -78,12 +89,12 @@
         self,
         host: str,
         port: int,
-        item: engine_core.EngineSettings,
+        settings: engine_core.EngineSettings,
         task_status: trio.TaskStatus[Any],
     ) -> None:
         """Serves until cancelled."""
         await engine.serve(
-            host, port, engine_core.Engine(item), task_status=task_status
+            host, port, engine_core.Engine(settings), task_status=task_status
         )
 
 
@@ -99,24 +110,24 @@
         self,
         host: str,
         port: int,
-        item: plain_service.PlainSettings,
+        settings: plain_service.PlainSettings,
         task_status: trio.TaskStatus[Any],
     ) -> None:
         """Serves until cancelled."""
         await plain_service.serve(
             host,
             port,
-            plain_service.PlainService(item),
+            plain_service.PlainService(settings),
             task_status=task_status,
         )
 
 
 @attrs.frozen
 class KeyValueStandInSettings:
-    """How the stand-in of the key-value service behaves.
+    """Settings of the key-value service stand-in.
 
     Attributes:
-        seed: Seed of its faults.
+        seed: Seed of its injected faults.
     """
 
     seed: int = 1
@@ -134,21 +145,21 @@
         self,
         host: str,
         port: int,
-        item: KeyValueStandInSettings,
+        settings: KeyValueStandInSettings,
         task_status: trio.TaskStatus[Any],
     ) -> None:
         """Serves until cancelled."""
-        store = key_value.MemoryStore(random.Random(item.seed))
+        store = key_value.MemoryStore(random.Random(settings.seed))
         await key_value.serve(host, port, store, task_status=task_status)
 
 
 @attrs.frozen
 class VmListStandInSettings:
-    """What the stand-in of the VM list says.
+    """Settings of the VM list stand-in.
 
     Attributes:
         vms: The VMs.
-        lag_seconds: Time until a change shows.
+        lag_seconds: Delay until a change is visible to readers.
     """
 
     vms: tuple[upstreams.Vm, ...] = ()
@@ -169,22 +180,22 @@
         self,
         host: str,
         port: int,
-        item: VmListStandInSettings,
+        settings: VmListStandInSettings,
         task_status: trio.TaskStatus[Any],
     ) -> None:
         """Serves until cancelled."""
-        served = vm_list.VmListStandIn(item.vms, item.lag_seconds)
-        await vm_list.serve(host, port, served, task_status=task_status)
+        standin = vm_list.VmListStandIn(settings.vms, settings.lag_seconds)
+        await vm_list.serve(host, port, standin, task_status=task_status)
 
 
 @attrs.frozen
 class WeightStoreStandInSettings:
-    """How the stand-in of the weight store behaves.
+    """Settings of the weight store stand-in.
 
     Attributes:
         rate: Fetches a second that it allows.
-        burst: Fetches that may come at once.
-        fetch_seconds: Time that one fetch takes.
+        burst: Fetches that it allows at once.
+        fetch_seconds: Duration of one fetch.
     """
 
     rate: float = settings_module.bounded(1.0, 0.001, 1_000_000.0)
@@ -206,11 +217,11 @@
         self,
         host: str,
         port: int,
-        item: WeightStoreStandInSettings,
+        settings: WeightStoreStandInSettings,
         task_status: trio.TaskStatus[Any],
     ) -> None:
         """Serves until cancelled."""
         store = weight_store.WeightStore(
-            item.rate, item.burst, item.fetch_seconds
+            settings.rate, settings.burst, settings.fetch_seconds
         )
         await weight_store.serve(host, port, store, task_status=task_status)
--- a/lavenderbend/load/__init__.py
+++ b/lavenderbend/load/__init__.py
@@ -1,4 +1,4 @@
-"""A seeded load of returning chats and its report."""
+"""Load generator: sends a seeded load of chats and measures the replies."""
 
 from lavenderbend.load.driver import run_load
 from lavenderbend.load.plans import LoadCustomer
--- a/lavenderbend/load/calls.py
+++ b/lavenderbend/load/calls.py
@@ -1,4 +1,4 @@
-"""One call to a router, checked to its end."""
+"""Sends one call to a router and reads its complete reply."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class NotServed(Exception):  # noqa: N818
-    """The call was surely not run; another address may serve it.
+    """The call was certainly not run; another address may serve it.
 
     Attributes:
-        kind: Problem kind, or the name of the error.
-        retry: Whether another try makes sense.
+        kind: Problem kind, or the name of the connection error.
+        retry: Whether the call may be retried at another address.
     """
 
     def __init__(self, kind: str, retry: bool) -> None:
@@ -36,21 +36,21 @@
 
 
 class CutOff(Exception):  # noqa: N818
-    """The answer broke off, or nobody knows what became of the call."""
+    """The reply is incomplete, or it is unknown whether the call was run."""
 
 
 @attrs.define
 class Reply:
-    """A whole answer.
+    """A complete reply.
 
     Attributes:
         status: HTTP status.
-        request_id: Id that the router gave the call.
-        body: The body, of calls that were not streamed.
+        request_id: Request id assigned by the router.
+        body: The body; empty if the reply was streamed.
         text: Text of a chat answer.
         usage: Token counts of a chat answer.
-        first_byte: Seconds to the first byte of the body.
-        seconds: Seconds to the end.
+        first_byte: Seconds until the first byte of the body.
+        seconds: Seconds until the end of the reply.
     """
 
     status: int
@@ -90,11 +90,11 @@
         headers: Mapping[str, str],
         content: bytes = b'',
     ) -> Reply:
-        """Sends a call and returns its whole answer.
+        """Sends a call and returns its complete reply.
 
         Raises:
-            NotServed: It was not run.
-            CutOff: Its answer is not whole.
+            NotServed: The call was not run.
+            CutOff: The reply is incomplete.
         """
         started = trio.current_time()
         request = self.client.build_request(
@@ -107,22 +107,24 @@
         except httpx.HTTPError as exc:
             raise CutOff(f'no answer: {type(exc).__name__}') from exc
         try:
-            return await self.read(response, started)
+            return await self.read_reply(response, started)
         except (httpx.HTTPError, httpx.StreamError) as exc:
             raise CutOff(f'broken off: {type(exc).__name__}') from exc
         finally:
             with trio.move_on_after(1.0, shield=True):
                 await response.aclose()
 
-    async def read(self, response: httpx.Response, started: float) -> Reply:
-        """Reads an answer to its end."""
-        kind = response.headers.get('content-type', '')
+    async def read_reply(
+        self, response: httpx.Response, started: float
+    ) -> Reply:
+        """Reads a reply to its end."""
+        content_type = response.headers.get('content-type', '')
         reply = Reply(
             response.status_code, response.headers.get('x-request-id', '')
         )
-        if kind.startswith('application/problem+json'):
+        if content_type.startswith('application/problem+json'):
             raise_problem(await response.aread())
-        if kind.startswith(sse.CONTENT_TYPE):
+        if content_type.startswith(sse.CONTENT_TYPE):
             await read_stream(response, reply, started)
         else:
             reply.body = await response.aread()
@@ -136,7 +138,12 @@
 
 
 def raise_problem(body: bytes) -> None:
-    """Raises what a problem document says."""
+    """Raises the error that a problem document describes.
+
+    Raises:
+        NotServed: The document says that the call was not run.
+        CutOff: It says anything else.
+    """
     document = orjson.loads(body)
     kind = str(document.get('type', '')).rpartition(':')[2]
     if document.get('outcome') == NOT_RUN:
@@ -150,7 +157,7 @@
 ) -> None:
     """Reads a streamed chat answer up to its terminator."""
     parser = sse.Parser(MAX_EVENT_BYTES)
-    texts: list[str] = []
+    chunks: list[str] = []
     done = False
     async for data in response.aiter_raw():
         if not reply.first_byte:
@@ -161,24 +168,24 @@
             elif event.name == b'error':
                 raise CutOff(event.data.decode(errors='replace'))
             else:
-                take_event(event.data, texts, reply)
+                read_event(event.data, chunks, reply)
     if not done:
         raise CutOff('the stream ended before its terminator')
-    reply.text = ''.join(texts)
+    reply.text = ''.join(chunks)
 
 
-def take_event(data: bytes, texts: list[str], reply: Reply) -> None:
-    """Takes the text and the usage out of one event."""
+def read_event(data: bytes, chunks: list[str], reply: Reply) -> None:
+    """Reads the text and the token usage from one event."""
     try:
-        texts.append(openai.read_chunk(data).text)
+        chunks.append(openai.read_chunk(data).text)
     except errors.UpstreamBroke as exc:
         raise CutOff('garbage in the stream') from exc
     if b'"usage"' in data:
         reply.usage = orjson.loads(data).get('usage') or {}
 
 
-def read_chat(reply: Reply) -> None:
-    """Takes text and usage out of a chat answer that was not streamed."""
+def read_chat_answer(reply: Reply) -> None:
+    """Reads text and token usage from a chat answer that was not streamed."""
     try:
         document = orjson.loads(reply.body)
         reply.text = document['choices'][0]['message']['content']
--- a/lavenderbend/load/chats.py
+++ b/lavenderbend/load/chats.py
@@ -1,4 +1,4 @@
-"""The chats of a load, which come back turn by turn."""
+"""The chats of a load, each of which has several turns."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     'entrega', 'reparto', 'buzon', 'clinica', 'juzgado', 'comuna', 'bodega',
 )
 # fmt: on
-SYSTEM = 'Answer briefly and in order.'
+SYSTEM_MESSAGE = 'Answer briefly and in order.'
 
 
 @attrs.define(eq=False)
@@ -30,8 +30,8 @@
     Attributes:
         key: Its `prompt_cache_key`.
         customer: Index of its customer.
-        messages: So far.
-        turns: Answers so far.
+        messages: Messages so far.
+        turns: Number of answers so far.
     """
 
     key: str
@@ -41,14 +41,14 @@
 
 
 class ChatPool:
-    """Chats that may return.
+    """Chats that may have further turns.
 
     Attributes:
-        plan: The load.
-        mix: Its mix.
-        rng: Source of everything random.
+        plan: The load plan.
+        mix: The mix that the plan names.
+        rng: Source of all random choices.
         idle: Chats without a turn in progress, by customer.
-        made: Chats made so far.
+        created: Number of chats created so far.
     """
 
     def __init__(
@@ -60,34 +60,40 @@
         self.idle: dict[int, collections.deque[Chat]] = collections.defaultdict(
             collections.deque
         )
-        self.made = 0
+        self.created = 0
 
-    def words(self, count: int) -> str:
-        """Returns some text."""
+    def random_words(self, count: int) -> str:
+        """Returns a text of `count` random words."""
         return ' '.join(self.rng.choices(WORDS, k=count))
 
     def next_turn(self, customer: int) -> Chat:
-        """Returns a chat of the customer with one more question in it."""
+        """Returns a new or idle chat of the customer with its next question."""
         idle = self.idle[customer]
         if idle and self.rng.random() < self.plan.return_share:
             index = self.rng.randrange(len(idle))
             idle.rotate(-index)
             chat = idle.popleft()
-            question = self.words(self.mix.turn_words)
+            question = self.random_words(self.mix.turn_words)
         else:
-            chat = self.make(customer)
-            question = self.words(self.mix.beginning_words)
+            chat = self.create(customer)
+            question = self.random_words(self.mix.first_message_words)
         chat.messages.append({'role': 'user', 'content': question})
         return chat
 
-    def make(self, customer: int) -> Chat:
+    def create(self, customer: int) -> Chat:
         """Returns a new chat."""
-        self.made += 1
-        key = f'chat-{self.plan.seed}-{customer}-{self.made}'
-        return Chat(key, customer, [{'role': 'system', 'content': SYSTEM}])
+        self.created += 1
+        key = f'chat-{self.plan.seed}-{customer}-{self.created}'
+        return Chat(
+            key, customer, [{'role': 'system', 'content': SYSTEM_MESSAGE}]
+        )
+
+    def complete_turn(self, chat: Chat, answer: str) -> None:
+        """Adds the answer to a chat and makes the chat available again.
 
-    def put_back(self, chat: Chat, answer: str) -> None:
-        """Lets a chat come back after its answer."""
+        A chat that has reached the maximum number of turns is dropped, and
+        so are the oldest idle chats beyond the customer's share.
+        """
         chat.turns += 1
         if chat.turns >= self.plan.max_turns:
             return
@@ -98,13 +104,13 @@
         while len(idle) > limit:
             idle.popleft()
 
-    def body(self, chat: Chat) -> dict[str, Any]:
-        """Returns the body that asks for the next answer."""
+    def request_body(self, chat: Chat) -> dict[str, Any]:
+        """Returns the request body for the next answer."""
         low, high = self.mix.answer_tokens
         return {
             'model': self.plan.model or self.mix.model,
             'prompt_cache_key': chat.key,
             'messages': list(chat.messages),
             'max_tokens': self.rng.randint(low, high),
-            'stream': self.rng.random() < self.mix.streamed,
+            'stream': self.rng.random() < self.mix.streamed_share,
         }
--- a/lavenderbend/load/driver.py
+++ b/lavenderbend/load/driver.py
@@ -1,4 +1,4 @@
-"""Sends a load to routers and checks every answer."""
+"""Sends a load to routers and checks every reply."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
     from collections.abc import Callable
     from collections.abc import Sequence
 
-    Expected = Callable[[str, dict[str, Any]], str]
+    ExpectedText = Callable[[str, dict[str, Any]], str]
 
 CHAT = 'chat'
 INSTANT = 'instant'
 ONCE = 'once'
-REST_SECONDS = 0.05
+RETRY_DELAY_SECONDS = 0.05
 
 
 class Driver:
     """One load in progress.
 
     Attributes:
-        plan: The load.
-        mix: Its mix.
-        rng: Source of everything random.
+        plan: The load plan.
+        mix: The mix that the plan names.
+        rng: Source of all random choices.
         callers: One for each address.
-        chats: Chats that may return.
-        result: What became of the calls so far.
-        expected: Returns the one right text of a chat answer, or None if
-            only its wholeness can be checked.
-        open: Calls in progress.
+        chats: Chats that may have further turns.
+        result: Outcomes of the calls so far.
+        expected: Returns the only correct text of a chat answer; None if
+            only completeness can be checked.
+        open_calls: Limits the number of calls in progress.
     """
 
     def __init__(
         self,
         plan: plans.LoadPlan,
         addresses: Sequence[str],
-        expected: Expected | None,
+        expected: ExpectedText | None,
     ) -> None:
         self.plan = plan
         self.mix = plans.MIXES.get(plan.mix)
@@ -58,8 +58,8 @@
         self.chats = chats.ChatPool(plan, self.mix, self.rng)
         self.result = results.LoadResult()
         self.expected = expected
-        self.open = trio.CapacityLimiter(plan.max_open)
-        self.numbers = 0
+        self.open_calls = trio.CapacityLimiter(plan.max_open)
+        self.call_count = 0
 
     async def run(self) -> results.LoadResult:
         """Sends all calls and returns when the last has ended."""
@@ -75,20 +75,20 @@
     async def send_calls(
         self, nursery: trio.Nursery, customer: int, started: float
     ) -> None:
-        """Begins the calls of one customer, in a Poisson process."""
+        """Starts the calls of one customer as a Poisson process."""
         rng = random.Random(f'{self.plan.seed}/{customer}')
         due = started
         while True:
-            rate = self.plan.rate_of(customer, due - started)
+            rate = self.plan.customer_rate(customer, due - started)
             due += rng.expovariate(rate)
             if due >= started + self.plan.seconds:
                 return
             await trio.sleep_until(due)
             kind = self.choose_kind(rng)
-            nursery.start_soon(self.one_call, kind, customer, rng)
+            nursery.start_soon(self.run_call, kind, customer, rng)
 
     def choose_kind(self, rng: random.Random) -> str:
-        """Returns what the next call is."""
+        """Returns the kind of the next call."""
         value = rng.random()
         if value < self.mix.chat_share:
             return CHAT
@@ -96,65 +96,76 @@
             return INSTANT
         return ONCE
 
-    async def one_call(
+    async def run_call(
         self, kind: str, customer: int, rng: random.Random
     ) -> None:
-        """Makes one call and counts what became of it."""
-        self.numbers += 1
-        send = {CHAT: self.chat, INSTANT: self.instant, ONCE: self.once}[kind]
-        async with self.open:
+        """Sends one call and records its outcome."""
+        self.call_count += 1
+        send = {
+            CHAT: self.send_chat,
+            INSTANT: self.send_instant,
+            ONCE: self.send_once,
+        }[kind]
+        async with self.open_calls:
             try:
                 with trio.fail_after(self.plan.call_seconds):
-                    verdict, detail = await send(customer, self.numbers, rng)
+                    verdict, detail = await send(customer, self.call_count, rng)
             except calls.NotServed as exc:
                 verdict, detail = results.Verdict.REFUSED, exc.kind
             except (calls.CutOff, trio.TooSlowError) as exc:
                 verdict, detail = results.Verdict.CUT, f'{kind}: {exc}'
-        self.result.note(verdict, detail)
+        self.result.record_call(verdict, detail)
 
-    async def send(
+    async def send_with_retries(
         self, customer: int, send: Callable[[calls.Caller, dict], Any]
     ) -> calls.Reply:
-        """Sends a call, to another address as long as it was not run."""
+        """Sends a call; retries at another address while it was not run.
+
+        Raises:
+            NotServed: The call was not run in any try.
+            CutOff: The reply is incomplete.
+        """
         credential = self.plan.customers[customer].credential
         headers = {'authorization': f'Bearer {credential}'}
-        first = self.rng.randrange(len(self.callers))
-        for number in range(self.plan.tries):
-            caller = self.callers[(first + number) % len(self.callers)]
+        first_index = self.rng.randrange(len(self.callers))
+        for attempt in range(self.plan.tries):
+            caller = self.callers[(first_index + attempt) % len(self.callers)]
             try:
                 reply = await send(caller, headers)
             except calls.NotServed as exc:
-                if not exc.retry or number + 1 == self.plan.tries:
+                if not exc.retry or attempt + 1 == self.plan.tries:
                     raise
-                await trio.sleep(REST_SECONDS)
+                await trio.sleep(RETRY_DELAY_SECONDS)
             else:
-                self.result.retried += number > 0
+                self.result.retried += attempt > 0
                 return reply
         raise calls.NotServed('no tries', False)
 
-    async def chat(
+    async def send_chat(
         self, customer: int, number: int, rng: random.Random
     ) -> tuple[results.Verdict, str]:
-        """Makes one turn of a chat."""
+        """Sends one turn of a chat."""
         chat = self.chats.next_turn(customer)
-        body = self.chats.body(chat)
+        body = self.chats.request_body(chat)
         content = orjson.dumps(body)
 
         async def send(caller: calls.Caller, headers: dict) -> calls.Reply:
             return await caller.call('POST', openai.CHAT_PATH, headers, content)
 
-        reply = await self.send(customer, send)
+        reply = await self.send_with_retries(customer, send)
         if reply.status != 200:
             return results.Verdict.CUT, f'chat: status {reply.status}'
         if reply.body:
-            calls.read_chat(reply)
-        self.result.time(results.Timing.CHAT, reply.seconds)
+            calls.read_chat_answer(reply)
+        self.result.record_latency(results.Timing.CHAT, reply.seconds)
         if body['stream']:
-            self.result.time(results.Timing.FIRST_BYTE, reply.first_byte)
+            self.result.record_latency(
+                results.Timing.FIRST_BYTE, reply.first_byte
+            )
         self.note_usage(reply.usage, chat.turns > 0)
         if not self.right(reply, body):
             return results.Verdict.WRONG, f'chat {chat.key}: {reply.text!r}'
-        self.chats.put_back(chat, reply.text)
+        self.chats.complete_turn(chat, reply.text)
         return results.Verdict.WHOLE, ''
 
     def right(self, reply: calls.Reply, body: dict[str, Any]) -> bool:
@@ -164,7 +175,7 @@
         return reply.text == self.expected(reply.request_id, body)
 
     def note_usage(self, usage: dict[str, Any], returning: bool) -> None:
-        """Adds up prompt tokens and those that were cached."""
+        """Adds the prompt tokens, and the cached ones, to the result."""
         details = usage.get('prompt_tokens_details') or {}
         cached = details.get('cached_tokens') or 0
         total = usage.get('prompt_tokens') or 0
@@ -174,77 +185,82 @@
             self.result.returning_cached_tokens += cached
             self.result.returning_prompt_tokens += total
 
-    async def instant(
+    async def send_instant(
         self, customer: int, number: int, rng: random.Random
     ) -> tuple[results.Verdict, str]:
-        """Makes one instant call."""
+        """Sends one instant call."""
         path = f'{rng.choice(self.mix.instant_paths)}office-{number}'
 
         async def send(caller: calls.Caller, headers: dict) -> calls.Reply:
             return await caller.call('GET', path, headers)
 
-        reply = await self.send(customer, send)
-        self.result.time(results.Timing.INSTANT, reply.seconds)
+        reply = await self.send_with_retries(customer, send)
+        self.result.record_latency(results.Timing.INSTANT, reply.seconds)
         if reply.status != 200:
             return results.Verdict.CUT, f'instant: status {reply.status}'
         if path.encode() not in reply.body:
             return results.Verdict.WRONG, f'instant {path}: {reply.body!r}'
         return results.Verdict.WHOLE, ''
 
-    async def once(
+    async def send_once(
         self, customer: int, number: int, rng: random.Random
     ) -> tuple[results.Verdict, str]:
-        """Makes one non-idempotent call, now and then twice."""
+        """Sends one non-idempotent call, and a share of them twice."""
         name = self.plan.customers[customer].name
         key = f'{name}-{self.plan.seed}-{number}'
         content = orjson.dumps({'to': f'citizen-{number}', 'key': key})
         resend = rng.random() < self.mix.resend_share
 
         async def send(caller: calls.Caller, headers: dict) -> calls.Reply:
-            named = {**headers, 'idempotency-key': key}
-            return await caller.call('POST', self.mix.once_path, named, content)
+            keyed_headers = {**headers, 'idempotency-key': key}
+            return await caller.call(
+                'POST', self.mix.once_path, keyed_headers, content
+            )
 
         self.result.once_keys[key] = None
         try:
-            reply = await self.send(customer, send)
+            reply = await self.send_with_retries(customer, send)
         except calls.NotServed:
             self.result.once_keys[key] = False
             raise
-        self.result.time(results.Timing.ONCE, reply.seconds)
+        self.result.record_latency(results.Timing.ONCE, reply.seconds)
         if not 200 <= reply.status < 300:
             return results.Verdict.CUT, f'once: status {reply.status}'
         self.result.once_keys[key] = True
         if resend:
             self.result.resent += 1
-            again = await self.send(customer, send)
-            if again.status != reply.status:
-                return results.Verdict.WRONG, f'once {key}: {again.status}'
+            second_reply = await self.send_with_retries(customer, send)
+            if second_reply.status != reply.status:
+                return (
+                    results.Verdict.WRONG,
+                    f'once {key}: {second_reply.status}',
+                )
         return results.Verdict.WHOLE, ''
 
 
 async def run_load(
     plan: plans.LoadPlan,
     addresses: Sequence[str],
-    expected: Expected | None = None,
+    expected: ExpectedText | None = None,
     progress: Callable[[results.LoadResult], None] | None = None,
     progress_seconds: float = 1.0,
 ) -> results.LoadResult:
-    """Sends a load and returns what became of it.
+    """Sends a load and returns its result.
 
     Args:
-        plan: The load.
+        plan: The load plan.
         addresses: Base URLs of the routers.
-        expected: Returns the one right text of the answer to a request, by
-            its id and body; without it only wholeness is checked.
-        progress: Called with the result so far, now and then.
-        progress_seconds: How often.
+        expected: Returns the only correct text of the answer to a request,
+            given its id and body; without it only completeness is checked.
+        progress: Called repeatedly with the result so far.
+        progress_seconds: Interval between these calls.
     """
     driver = Driver(plan, addresses, expected)
     async with trio.open_nursery() as nursery:
         if progress is not None:
             nursery.start_soon(
                 functools.partial(
-                    report, driver.result, progress, progress_seconds
+                    report_progress, driver.result, progress, progress_seconds
                 )
             )
         result = await driver.run()
@@ -252,12 +268,12 @@
     return result
 
 
-async def report(
+async def report_progress(
     result: results.LoadResult,
     progress: Callable[[results.LoadResult], None],
     seconds: float,
 ) -> None:
-    """Shows progress until cancelled."""
+    """Calls `progress` at an interval until cancelled."""
     while True:
         await trio.sleep(seconds)
         progress(result)
--- a/lavenderbend/load/plans.py
+++ b/lavenderbend/load/plans.py
@@ -1,4 +1,4 @@
-"""What a load consists of."""
+"""Load plans and the mixes of calls that they use."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 @attrs.frozen
 class Mix:
-    """The calls of one deployment.
+    """Composition of the calls of one deployment.
 
     Attributes:
-        model: Model that chats ask for.
-        beginning_words: Words of the first message of a chat.
+        model: Model that chats request.
+        first_message_words: Words of the first message of a chat.
         turn_words: Words that each further turn adds.
-        answer_tokens: Smallest and largest answer.
-        streamed: Share of chat turns whose answer is streamed.
+        answer_tokens: Minimum and maximum of `max_tokens`.
+        streamed_share: Share of chat turns whose answer is streamed.
         chat_share: Share of calls that are chat turns.
         instant_share: Share of calls that are instant; the rest are
             non-idempotent.
-        instant_paths: Paths of instant calls, without the last part.
+        instant_paths: Path prefixes of instant calls.
         once_path: Path of non-idempotent calls.
         resend_share: Share of non-idempotent calls that are sent again
-            though they were answered.
-        large_customers: Customers at the front of the list that are large.
-        large_weight: Traffic of a large customer, against 1 of a small one.
+            although they were answered.
+        large_customers: Number of large customers, the first of the list.
+        large_weight: Traffic of a large customer relative to a small one.
     """
 
     model: str
-    beginning_words: int
+    first_message_words: int
     turn_words: int
     answer_tokens: tuple[int, int]
-    streamed: float
+    streamed_share: float
     chat_share: float
     instant_share: float
     instant_paths: tuple[str, ...]
@@ -46,10 +46,10 @@
 MIXES.register('correo')(
     Mix(
         model='assistant',
-        beginning_words=600,
+        first_message_words=600,
         turn_words=60,
         answer_tokens=(12, 48),
-        streamed=0.7,
+        streamed_share=0.7,
         chat_share=0.6,
         instant_share=0.3,
         instant_paths=('/alerts/', '/deliveries/'),
@@ -59,10 +59,10 @@
 MIXES.register('rutaclara')(
     Mix(
         model='route-planner',
-        beginning_words=250,
+        first_message_words=250,
         turn_words=80,
         answer_tokens=(24, 64),
-        streamed=0.8,
+        streamed_share=0.8,
         chat_share=0.7,
         instant_share=0.15,
         instant_paths=('/alerts/', '/deliveries/'),
@@ -77,7 +77,7 @@
 
     Attributes:
         name: Its name.
-        credential: What it shows to the router.
+        credential: Credential that it sends to the router.
     """
 
     name: str
@@ -86,13 +86,13 @@
 
 @attrs.frozen
 class Surge:
-    """A time in which a few customers send more.
+    """A period in which some customers send more calls.
 
     Attributes:
-        customers: Names.
-        factor: Their traffic against the usual.
-        start: Seconds from the start of the load.
-        seconds: How long it lasts.
+        customers: Names of these customers.
+        factor: Factor by which their traffic rises.
+        start: Start of the surge in seconds from the start of the load.
+        seconds: Duration of the surge.
     """
 
     customers: tuple[str, ...]
@@ -100,33 +100,33 @@
     start: float
     seconds: float
 
-    def holds(self, at: float) -> bool:
-        """Returns whether it is going on, seconds from the start."""
+    def is_active(self, at: float) -> bool:
+        """Returns whether the surge is active `at` seconds after the start."""
         return self.start <= at < self.start + self.seconds
 
 
 @attrs.frozen
 class LoadPlan:
-    """A whole load.
+    """Parameters of a load.
 
-    Equal plans begin calls of the same kinds at the same times; which chat
-    returns depends on the answers that have come by then.
+    Equal plans start calls of the same kinds at the same times; which chat
+    has its next turn depends on the answers received by then.
 
     Attributes:
         mix: Name of the mix.
-        customers: Who sends.
-        seconds: Time in which calls are begun.
+        customers: Customers that send calls.
+        seconds: Time during which calls are started.
         rate: Calls a second, outside of surges.
-        seed: Seed of everything random.
-        return_share: Share of chat turns that go on with an earlier chat.
-        max_chats: Chats that may return, at once; the oldest are given up.
+        seed: Seed of all random choices.
+        return_share: Share of chat turns that continue an earlier chat.
+        max_chats: Maximum number of idle chats; the oldest are dropped.
         max_turns: A chat ends after this many turns.
-        max_open: Calls in progress; beyond it calls wait to be begun.
-        tries: Times that a call which was not run is sent, each time to
-            another address.
-        call_seconds: A call without an end after this counts as cut.
-        surges: Times of more traffic.
-        model: Replaces the model of the mix.
+        max_open: Maximum number of calls in progress; further calls wait.
+        tries: Maximum number of times that a call which was not run is
+            sent, each time to another address.
+        call_seconds: Timeout after which a call counts as cut.
+        surges: Periods of increased traffic.
+        model: Replaces the model of the mix if set.
     """
 
     mix: str
@@ -143,8 +143,13 @@
     surges: tuple[Surge, ...] = ()
     model: str | None = None
 
-    def rate_of(self, index: int, at: float) -> float:
-        """Returns the calls a second of one customer at a time."""
+    def customer_rate(self, index: int, at: float) -> float:
+        """Returns the calls a second of one customer.
+
+        Args:
+            index: Index of the customer.
+            at: Seconds from the start of the load.
+        """
         mix = MIXES.get(self.mix)
         weights = [
             mix.large_weight if number < mix.large_customers else 1.0
@@ -152,7 +157,7 @@
         ]
         rate = self.rate * weights[index] / sum(weights)
         for surge in self.surges:
-            if surge.holds(at) and self.customers[index].name in (
+            if surge.is_active(at) and self.customers[index].name in (
                 surge.customers
             ):
                 rate *= surge.factor
--- a/lavenderbend/load/results.py
+++ b/lavenderbend/load/results.py
@@ -1,4 +1,4 @@
-"""What became of a load."""
+"""Counts and latencies of a load."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 US_PER_SECOND = 1_000_000
 US_PER_MS = 1000.0
 QUANTILES = (50.0, 90.0, 95.0, 99.0, 99.9)
@@ -23,7 +23,7 @@
 
 
 class Verdict(enum.Enum):
-    """What became of one call."""
+    """Outcome of one call."""
 
     WHOLE = 'whole'
     WRONG = 'wrong'
@@ -32,7 +32,7 @@
 
 
 class Timing(enum.Enum):
-    """What a histogram measures."""
+    """Latency that a histogram measures."""
 
     FIRST_BYTE = 'chat first byte'
     CHAT = 'chat'
@@ -42,7 +42,7 @@
 
 def new_histogram() -> histogram.HdrHistogram:
     """Returns an empty histogram of microseconds."""
-    return histogram.HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+    return histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.define
@@ -50,20 +50,20 @@
     """Counts and latencies of a load.
 
     Attributes:
-        verdicts: Calls by what became of them.
-        refusals: Refused calls by problem kind or error.
-        examples: Texts of some calls that were wrong, cut or refused.
-        retried: Calls that a second try served.
+        verdicts: Number of calls by outcome.
+        refusals: Number of refused calls by problem kind or error.
+        examples: Descriptions of some wrong, cut or refused calls.
+        retried: Calls that were served after a retry.
         resent: Non-idempotent calls sent again after their answer.
         cached_tokens: Prompt tokens that upstreams had cached.
-        prompt_tokens: Prompt tokens.
-        returning_cached_tokens: The same, of turns of returning chats.
-        returning_prompt_tokens: The same, of turns of returning chats.
+        prompt_tokens: Prompt tokens in total.
+        returning_cached_tokens: `cached_tokens` of chats with earlier turns.
+        returning_prompt_tokens: `prompt_tokens` of chats with earlier turns.
         once_keys: Non-idempotent calls by their Idempotency-Key: whether
             the caller knows that they ran (true), that they did not
             (false), or neither (None).
-        histograms: Latencies.
-        elapsed: Seconds that the load took.
+        histograms: Latencies in microseconds.
+        elapsed: Duration of the load in seconds.
     """
 
     verdicts: collections.Counter[Verdict] = attrs.field(
@@ -87,27 +87,27 @@
 
     @property
     def whole(self) -> int:
-        """Calls answered whole and right."""
+        """Calls with a complete and correct answer."""
         return self.verdicts[Verdict.WHOLE]
 
     @property
     def wrong(self) -> int:
-        """Calls answered with something else than their own answer."""
+        """Calls with an incorrect answer, such as that of another call."""
         return self.verdicts[Verdict.WRONG]
 
     @property
     def cut(self) -> int:
-        """Calls whose answer broke off or never came."""
+        """Calls whose answer was incomplete or missing."""
         return self.verdicts[Verdict.CUT]
 
     @property
     def refused(self) -> int:
-        """Calls that were told that they were not run, at each try."""
+        """Calls that were not run in any try."""
         return self.verdicts[Verdict.REFUSED]
 
     @property
     def calls(self) -> int:
-        """All calls that ended."""
+        """All completed calls, whatever their outcome."""
         return self.verdicts.total()
 
     @property
@@ -117,39 +117,39 @@
 
     @property
     def returning_cache_reuse(self) -> float:
-        """The same share, of turns of returning chats only."""
+        """The same share, for chats with earlier turns only."""
         total = max(1, self.returning_prompt_tokens)
         return self.returning_cached_tokens / total
 
-    def note(self, verdict: Verdict, detail: str = '') -> None:
-        """Counts one call."""
+    def record_call(self, verdict: Verdict, detail: str = '') -> None:
+        """Records the outcome of one call."""
         self.verdicts[verdict] += 1
         if verdict is Verdict.REFUSED:
             self.refusals[detail] += 1
         if verdict is not Verdict.WHOLE and len(self.examples) < MAX_EXAMPLES:
             self.examples.append(f'{verdict.value}: {detail}')
 
-    def time(self, timing: Timing, seconds: float) -> None:
-        """Counts one latency."""
+    def record_latency(self, timing: Timing, seconds: float) -> None:
+        """Records one latency."""
         value = max(LOWEST_US, round(seconds * US_PER_SECOND))
         self.histograms[timing].record_value(min(value, HIGHEST_US))
 
     def quantile(self, timing: Timing, percent: float) -> float:
         """Returns a quantile of the latency, in milliseconds."""
-        found = self.histograms[timing].get_value_at_percentile(percent)
-        return found / US_PER_MS
+        value_us = self.histograms[timing].get_value_at_percentile(percent)
+        return value_us / US_PER_MS
 
     def used_timings(self) -> Iterator[Timing]:
-        """Yields the timings that were counted."""
-        for timing, item in self.histograms.items():
-            if item.get_total_count():
+        """Yields the timings with at least one recorded latency."""
+        for timing, latencies in self.histograms.items():
+            if latencies.get_total_count():
                 yield timing
 
     def to_document(self) -> dict[str, Any]:
         """Returns the result as a JSON object."""
         return {
             'calls': self.calls,
-            **{item.value: self.verdicts[item] for item in Verdict},
+            **{verdict.value: self.verdicts[verdict] for verdict in Verdict},
             'refusals': dict(self.refusals),
             'examples': self.examples,
             'retried': self.retried,
--- a/tests/integration/test_integration_forwarding.py
+++ b/tests/integration/test_integration_forwarding.py
@@ -200,11 +200,11 @@
     lines = []
 
     async def ended():
-        lines[:] = trace.lines_of(request, log)
-        return any(trace.event_of(line) == 'request_ended' for line in lines)
+        lines[:] = trace.request_lines(request, log)
+        return any(trace.event_name(line) == 'request_ended' for line in lines)
 
     await fleet.until(ended)
-    return {trace.event_of(line): line for line in lines}
+    return {trace.event_name(line): line for line in lines}
 
 
 async def test_cause_of_an_unknown_outcome_is_in_the_lines(fleet):
--- a/tests/test_cmd/test_cmd_demo.py
+++ b/tests/test_cmd/test_cmd_demo.py
@@ -13,8 +13,8 @@
 from lavenderbend.load import results
 
 
-def test_demo_ends_by_itself_with_a_report_and_nothing_cut_off():
-    # real sockets and real time: the only test that runs the whole demo
+def test_demo_completes_without_wrong_or_cut_answers():
+    # The only test that runs the complete demo, on real sockets in real time.
     out = io.StringIO()
     output = base.Output(out=out, err=io.StringIO())
 
@@ -22,30 +22,30 @@
         ['demo', '--seconds', '5', '--deployment', 'correo', '--json'], output
     )
 
-    found = json.loads(out.getvalue())
-    load = found['loads']['correo']
+    document = json.loads(out.getvalue())
+    load = document['loads']['correo']
     assert (load['wrong'], load['cut']) == (0, 0), load['examples']
     assert code is exit_codes.ExitCode.OK
     assert load['whole'] > 10
-    assert set(found['control']['peer_bytes']) == {
+    assert set(document['control']['peer_bytes']) == {
         'router-1',
         'router-2',
         'router-3',
     }
-    assert found['in_force_seconds'] is not None
-    assert found['router_stop_seconds'] is not None
-    assert found['decision']['attempts']
+    assert document['in_force_seconds'] is not None
+    assert document['router_stop_seconds'] is not None
+    assert document['decision']['attempts']
 
 
 @pytest.fixture
 def report():
-    """A report of a demo in which all was well."""
-    item = demo_report.DemoReport(demo_report.DemoPlan())
+    """The report of a successful demo."""
+    good_report = demo_report.DemoReport(demo_report.DemoPlan())
     result = results.LoadResult()
     result.note(results.Verdict.WHOLE)
-    item.loads['correo'] = result
-    item.once_runs[1] = 3
-    return item
+    good_report.loads['correo'] = result
+    good_report.once_runs[1] = 3
+    return good_report
 
 
 def test_report_of_a_good_demo_passes(report):
@@ -65,7 +65,7 @@
     assert report.failed
 
 
-def test_a_call_told_not_run_that_ran_fails_the_demo(report):
+def test_a_run_of_a_call_reported_as_not_run_fails_the_demo(report):
     report.told_not_run = 1
 
     assert report.failed
@@ -75,41 +75,42 @@
     assert demo_report.DemoReport(demo_report.DemoPlan()).failed
 
 
-def test_joined_configuration_keeps_the_deployments_apart():
-    # story: both examples have a rule for /alerts/*. Joined as they are,
+def test_merged_rules_match_customers_of_their_own_deployment_only():
+    # Guards against cross-deployment matches: both examples have a rule for
+    # /alerts/*, and without the customers of each deployment in its rules,
     # Rutaclara's alerts would go to Correo's mailbox.
-    sites = demo_sites.chosen('both')
+    sites = demo_sites.select_sites('both')
     documents = [demo_sites.load_document(site) for site in sites]
 
-    joined = demo_sites.join(documents)
+    merged = demo_sites.merge_configurations(documents)
 
     for document in documents:
         names = {customer.name for customer in document.customers}
         pools = {pool.name for pool in document.pools}
-        for rule in joined.rules:
+        for rule in merged.rules:
             if rule.then.pool in pools:
-                texts = rule.when.customer
+                customer_patterns = rule.when.customer
                 assert all(
-                    t in names or any(n.startswith(t[:-1]) for n in names)
-                    for t in texts
+                    p in names or any(n.startswith(p[:-1]) for n in names)
+                    for p in customer_patterns
                 )
-                assert texts
+                assert customer_patterns
 
 
-def test_sites_have_the_sizes_of_today():
+def test_sites_have_their_current_sizes():
     sizes = {
         site.name: (site.engines, site.services, len(site.availability_zones))
-        for site in demo_sites.chosen('both')
+        for site in demo_sites.select_sites('both')
     }
 
     assert sizes == {'correo': (5, 3, 3), 'rutaclara': (9, 3, 3)}
 
 
-def test_plan_of_a_site_surges_in_the_middle():
+def test_load_plan_of_a_site_surges_in_the_middle():
     site = demo_sites.SITES.get('correo')
     document = demo_sites.load_document(site)
 
     plan = demo_sites.load_plan(site, document, 20.0, 1)
 
     index = [c.name for c in plan.customers].index(site.surge[0])
-    assert plan.rate_of(index, 10.0) > 2 * plan.rate_of(index, 1.0)
+    assert plan.customer_rate(index, 10.0) > 2 * plan.customer_rate(index, 1.0)
--- a/tests/test_cmd/test_cmd_main.py
+++ b/tests/test_cmd/test_cmd_main.py
@@ -21,7 +21,7 @@
 
 
 class Result:
-    """What a command line did."""
+    """Exit code and output of a command line."""
 
     def __init__(self, argv) -> None:
         self.out = io.StringIO()
@@ -56,7 +56,7 @@
         assert str(int(code)) in result.text
 
 
-def test_commands_of_the_product_are_there():
+def test_all_commands_are_registered():
     main.load_commands()
 
     assert set(base.COMMANDS) >= {
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     'argv', [(), ('nothing',), ('rules',), ('router',), ('status', '--x')]
 )
-def test_wrong_command_lines_end_in_usage(argv):
+def test_invalid_command_lines_return_the_usage_code(argv):
     assert run(*argv).code is Code.USAGE
 
 
@@ -101,7 +101,7 @@
     assert '0 warnings' in result.text
 
 
-def test_rules_check_tells_every_fault_with_its_line():
+def test_rules_check_reports_every_fault_with_its_line():
     path = ROOTS / 'test-rules-wrong' / 'rules.yaml'
 
     result = run('rules', 'check', path)
@@ -127,7 +127,7 @@
     assert strict.code is Code.FAILED
 
 
-def test_router_with_wrong_settings_does_not_start():
+def test_router_with_invalid_settings_does_not_start():
     path = ROOTS / 'test-settings-wrong' / 'settings.yaml'
 
     result = run('router', '--settings', path)
@@ -136,13 +136,13 @@
     assert 'callers.port' in result.errors
 
 
-def test_missing_credential_is_told(monkeypatch):
+def test_missing_credential_is_reported(monkeypatch):
     monkeypatch.delenv('LAVENDERBEND_CREDENTIAL', raising=False)
 
     assert run('status').code is Code.SETTINGS
 
 
-def test_unreachable_router_is_told(monkeypatch):
+def test_unreachable_router_is_reported(monkeypatch):
     monkeypatch.setenv('LAVENDERBEND_CREDENTIAL', 'x')
 
     result = run('status', '--router', 'http://127.0.0.1:1')
@@ -153,23 +153,28 @@
 
 @pytest.fixture
 async def router(nursery, monkeypatch):
-    """An operators' interface on a socket, and commands that ask it."""
-    parts = operator_fakes.make()
-    port = await nursery.start(parts.operators.serve, '127.0.0.1', 0)
+    """An operators' interface on a socket and a function that calls it.
+
+    The function runs a command line against the interface.
+    """
+    components = operator_fakes.make()
+    port = await nursery.start(components.operators.serve, '127.0.0.1', 0)
     monkeypatch.setenv('LAVENDERBEND_CREDENTIAL', operator_fakes.SECRET)
 
-    async def ask(*argv):
-        line = (*argv, '--router', f'http://127.0.0.1:{port}')
-        return await trio.to_thread.run_sync(functools.partial(run, *line))
+    async def run_command(*argv):
+        command_line = (*argv, '--router', f'http://127.0.0.1:{port}')
+        return await trio.to_thread.run_sync(
+            functools.partial(run, *command_line)
+        )
 
-    return parts, ask
+    return components, run_command
 
 
 async def test_status_of_a_router(router):
-    _, ask = router
+    _, run_command = router
 
-    text = await ask('status')
-    document = await ask('status', '--json')
+    text = await run_command('status')
+    document = await run_command('status', '--json')
 
     assert text.code is Code.OK
     assert 'engine-2' in text.text
@@ -177,92 +182,90 @@
 
 
 async def test_wrong_credential_is_refused(router, monkeypatch):
-    _, ask = router
+    _, run_command = router
     monkeypatch.setenv('LAVENDERBEND_CREDENTIAL', 'wrong')
 
-    assert (await ask('status')).code is Code.REFUSED
+    assert (await run_command('status')).code is Code.REFUSED
 
 
-async def test_decisions_and_one_of_them(router):
-    parts, ask = router
-    parts.decisions.add(operator_fakes.decision(1))
-    parts.decisions.add(operator_fakes.decision(2, customer='corte'))
+async def test_decisions_are_listed_and_shown(router):
+    components, run_command = router
+    components.decisions.add(operator_fakes.decision(1))
+    components.decisions.add(operator_fakes.decision(2, customer='corte'))
 
-    many = await ask('decisions', '--customer', 'clinica')
-    one = await ask('decisions', 'decision-1')
-    none = await ask('decisions', 'decision-9')
+    listed = await run_command('decisions', '--customer', 'clinica')
+    shown = await run_command('decisions', 'decision-1')
+    unknown = await run_command('decisions', 'decision-9')
 
-    assert 'decision-1' in many.text
-    assert 'decision-2' not in many.text
-    assert 'passed over engine-2: over bound' in one.text
-    assert none.code is Code.NOT_FOUND
+    assert 'decision-1' in listed.text
+    assert 'decision-2' not in listed.text
+    assert 'passed over engine-2: over bound' in shown.text
+    assert unknown.code is Code.NOT_FOUND
 
 
 async def test_explain_sends_nothing(router):
-    parts, ask = router
+    components, run_command = router
 
-    result = await ask(
+    result = await run_command(
         'explain', '--customer', 'clinica', '--model', 'assistant'
     )
 
     assert result.code is Code.OK
     assert 'rule alerts: no, method' in result.text
     assert 'would be taken' in result.text
-    assert not list(parts.decisions)
+    assert not list(components.decisions)
 
 
-async def test_shown_rules_are_applied_on_the_revision_they_name(
-    router, tmp_path
-):
-    # story: Ana shows revision 1 and edits it for an hour. Eva's change is
-    # accepted meanwhile. Ana's apply must not undo it: her file says that
-    # it was made from revision 1.
-    parts, ask = router
+async def test_apply_uses_the_revision_named_in_shown_rules(router, tmp_path):
+    # Guards against a lost update: Ana edits revision 1 while Eva's change is
+    # accepted. Ana's file names revision 1, so applying it must conflict
+    # rather than undo Eva's change.
+    components, run_command = router
     path = tmp_path / 'rules.yaml'
-    path.write_text((await ask('rules', 'show')).text)
+    path.write_text((await run_command('rules', 'show')).text)
 
-    first = await ask('rules', 'apply', path, '--author', 'eva')
-    second = await ask('rules', 'apply', path, '--author', 'ana')
+    first = await run_command('rules', 'apply', path, '--author', 'eva')
+    second = await run_command('rules', 'apply', path, '--author', 'ana')
 
     assert first.code is Code.OK
     assert second.code is Code.CONFLICT
     assert 'alerts changed' in second.errors
-    assert len(parts.configurations.revisions) == 2
+    assert len(components.configurations.revisions) == 2
 
 
-async def test_apply_names_routers_that_lag(router, tmp_path):
-    parts, ask = router
-    parts.configurations.missing = ('router-2',)
+async def test_apply_names_routers_without_the_revision(router, tmp_path):
+    components, run_command = router
+    components.configurations.missing = ('router-2',)
     path = tmp_path / 'rules.yaml'
     path.write_text(operator_fakes.RULES)
 
-    result = await ask('rules', 'apply', path)
+    result = await run_command('rules', 'apply', path)
 
     assert result.code is Code.NOT_IN_FORCE
     assert 'router-2' in result.text
 
 
 async def test_history_and_diff(router, tmp_path):
-    parts, ask = router
-    parts.decisions.add(operator_fakes.decision(1))
+    components, run_command = router
+    components.decisions.add(operator_fakes.decision(1))
     path = tmp_path / 'rules.yaml'
     path.write_text(operator_fakes.RULES.replace('[assistant]', '[other]'))
 
-    history = await ask('rules', 'history', '--json')
-    diff = await ask('rules', 'diff', path)
+    history = await run_command('rules', 'history', '--json')
+    diff = await run_command('rules', 'diff', path)
 
     assert history.json[0]['author'] == 'ana'
     assert '1 of 1 decisions would go another way' in diff.text
 
 
-def test_unknown_stand_in_is_told():
+def test_unknown_stand_in_is_reported():
     result = run('standin', 'nothing')
 
     assert result.code is Code.USAGE
     assert 'key-value' in result.errors
 
 
-def test_wrong_settings_of_a_stand_in_are_told(tmp_path):
+def test_invalid_settings_of_a_stand_in_are_reported(tmp_path):
     path = tmp_path / 'engine.yaml'
     path.write_text('step_second: 1\n')
 
@@ -292,14 +295,14 @@
         ('explain', '--customer', 'c', '--header', 'no-colon'),
     ],
 )
-def test_wrong_options_are_told(line):
+def test_invalid_options_are_reported(line):
     result = run(*line)
 
     assert result.code is Code.SETTINGS
     assert 'Traceback' not in result.errors
 
 
-def test_load_that_reaches_nobody_fails():
+def test_load_that_reaches_no_router_fails():
     result = run(
         *('load', '--customers', CUSTOMERS, '--mix', 'correo'),
         *('--seconds', '1', '--rate', '5', '--json', 'http://127.0.0.1:1'),
--- a/tests/test_cmd/test_cmd_reference.py
+++ b/tests/test_cmd/test_cmd_reference.py
@@ -17,15 +17,17 @@
     return module
 
 
-def test_reference_pages_are_what_the_code_says():
-    # if this fails: python docs/reference/generate.py
+def test_reference_pages_match_the_code():
+    # To update the pages, run: python docs/reference/generate.py
     for name, text in load_generator().pages().items():
         assert (REFERENCE / name).read_text() == text, name
 
 
-def test_operators_pages_name_only_metrics_that_exist():
+def test_operator_pages_name_only_existing_metrics():
     load_generator().import_all()
-    known = set(metrics.REGISTRY.collectors)
+    metric_names = set(metrics.REGISTRY.collectors)
     for path in (REFERENCE.parent / 'operators').glob('*.rst'):
-        named = set(re.findall(r'``(lavenderbend_[a-z_]+)``', path.read_text()))
-        assert named <= known, path.name
+        mentioned = set(
+            re.findall(r'``(lavenderbend_[a-z_]+)``', path.read_text())
+        )
+        assert mentioned <= metric_names, path.name
--- a/tests/test_cmd/test_cmd_trace.py
+++ b/tests/test_cmd/test_cmd_trace.py
@@ -1,4 +1,4 @@
-"""`lavenderbend trace` over logs as routers write them."""
+"""`lavenderbend trace` on logs in the format of routers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lavenderbend.cmd import main
 
 
-def line(event, timestamp, **fields):
+def log_line(event, timestamp, **fields):
     return json.dumps(
         {
             **fields,
@@ -28,19 +28,19 @@
     first.write_text(
         '\n'.join(
             (
-                line('upstream_avoided', 1.0, upstream='i-2', cause='old'),
+                log_line('upstream_avoided', 1.0, upstream='i-2', cause='old'),
                 'no log line',
                 '{"half',
-                line('upstream_avoided', 95.0, upstream='i-2', cause='x'),
-                line('upstream_avoided', 96.0, upstream='i-9', cause='x'),
-                line('attempt_failed', 99.0, request='r1', upstream='i-2'),
-                line('request_ended', 99.5, request='r2', seconds=0.1),
-                line('request_ended', 100.0, request='r1', seconds=0.4),
+                log_line('upstream_avoided', 95.0, upstream='i-2', cause='x'),
+                log_line('upstream_avoided', 96.0, upstream='i-9', cause='x'),
+                log_line('attempt_failed', 99.0, request='r1', upstream='i-2'),
+                log_line('request_ended', 99.5, request='r2', seconds=0.1),
+                log_line('request_ended', 100.0, request='r1', seconds=0.4),
             )
         )
     )
     second = tmp_path / 'b.log'
-    second.write_text(line('store_lost', 99.0))
+    second.write_text(log_line('store_lost', 99.0))
     return [str(first), str(second)]
 
 
@@ -50,21 +50,21 @@
     return code, out.getvalue()
 
 
-def test_lines_of_a_request_come_with_what_was_believed(logs):
+def test_request_lines_include_context_lines(logs):
     code, text = run('r1', *logs)
     assert code == exit_codes.ExitCode.OK
-    events = [row.split()[2] for row in text.splitlines()]
+    events = [line.split()[2] for line in text.splitlines()]
     assert events == ['upstream_avoided', 'attempt_failed', 'request_ended']
     assert 'i-9' not in text
 
 
-def test_unknown_request_is_said(logs):
+def test_unknown_request_is_reported(logs):
     code, text = run('r7', *logs)
     assert code == exit_codes.ExitCode.FAILED
     assert 'no line names r7' in text
 
 
-def test_missing_file_is_named(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     code, text = run('r1', str(tmp_path / 'none.log'))
     assert code == exit_codes.ExitCode.FAILED
     assert 'none.log' in text
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -14,13 +14,13 @@
 from lavenderbend.protocol import http_limits
 from lavenderbend.state import settings
 
-SMALL = """
+REQUIRED_SETTINGS = """
 id: router-1
 availability_zone: sala-a
 key_value: {endpoints: ['http://127.0.0.1:2379']}
 """
-TOLD = (
-    SMALL
+ALL_SETTINGS = (
+    REQUIRED_SETTINGS
     + """
 admission: {chats: 700}
 claims: {shards: 8, retention_seconds: 2h, write_gap_seconds: 20ms}
@@ -46,31 +46,38 @@
 )
 
 
-def parse(text):
+def parse_settings(text):
     return documents_yaml.parse_settings(text, 's.yaml')
 
 
-def test_defaults_of_the_file_are_those_of_the_parts():
-    # a router without these keys must run as it did before they were there
-    item = parse(SMALL)
+def test_file_defaults_equal_component_defaults():
+    # A router whose settings file predates these keys must behave as before:
+    # without them the file must give the default settings of the components.
+    router_settings = parse_settings(REQUIRED_SETTINGS)
 
-    assert adapters.admission_settings(item.admission) == (
+    assert adapters.admission_settings(router_settings.admission) == (
         admission.AdmissionSettings()
     )
-    assert adapters.claim_policy(item.claims) == claims.ClaimPolicy()
-    assert adapters.order_policy(item.orders) == orders.OrderPolicy()
-    assert adapters.answer_limits(item.answers) == http_limits.AnswerLimits()
-    assert adapters.dispatch_settings(item) == dispatch.DispatchSettings()
+    assert adapters.claim_policy(router_settings.claims) == claims.ClaimPolicy()
+    assert adapters.order_policy(router_settings.orders) == orders.OrderPolicy()
+    assert (
+        adapters.answer_limits(router_settings.answers)
+        == http_limits.AnswerLimits()
+    )
+    assert (
+        adapters.dispatch_settings(router_settings)
+        == dispatch.DispatchSettings()
+    )
 
 
-def test_router_runs_by_what_the_file_says():
-    one = router.RouterDaemon(parse(TOLD))
+def test_settings_of_the_file_reach_the_components():
+    daemon = router.RouterDaemon(parse_settings(ALL_SETTINGS))
 
-    assert one.admission.settings.chats == 700
-    policy = one.claims.policy
+    assert daemon.admission.settings.chats == 700
+    policy = daemon.claims.policy
     assert (policy.shards, policy.retention) == (8, 7200.0)
     assert policy.shard.batch_interval == 0.02
-    assert one.orders.policy == orders.OrderPolicy(
+    assert daemon.orders.policy == orders.OrderPolicy(
         interval=3.0,
         loads_at_once=5,
         load_gap=6.0,
@@ -79,15 +86,18 @@
         bake_seconds=8.0,
         engine_read_seconds=9.0,
     )
-    path = one.dispatcher.components.settings
-    assert path.answers == one.upstream_client.limits
-    assert path.answers == http_limits.AnswerLimits(
+    dispatch_settings = daemon.dispatcher.components.settings
+    assert dispatch_settings.answers == daemon.upstream_client.limits
+    assert dispatch_settings.answers == http_limits.AnswerLimits(
         event_bytes=2048, whole_bytes=3 * 1024 * 1024, stall_seconds=5.0
     )
-    assert (path.held_bytes, path.retry_after_seconds) == (4096, 6.0)
-    assert path.retries.share == 0.2
-    assert not path.answer_ids_contain_request_id
-    assert not path.require_idempotency_key
+    assert (
+        dispatch_settings.held_bytes,
+        dispatch_settings.retry_after_seconds,
+    ) == (4096, 6.0)
+    assert dispatch_settings.retries.share == 0.2
+    assert not dispatch_settings.answer_ids_contain_request_id
+    assert not dispatch_settings.require_idempotency_key
 
 
 @pytest.mark.parametrize(
@@ -105,9 +115,9 @@
         'attempts: {retry_share: 200%}',
     ],
 )
-def test_what_would_break_a_router_is_refused(line):
+def test_settings_out_of_bounds_are_refused(line):
     with pytest.raises(errors.DocumentErrors) as caught:
-        parse(f'{SMALL}{line}\n')
+        parse_settings(f'{REQUIRED_SETTINGS}{line}\n')
 
     section, _, rest = line.partition(': {')
     key = rest.partition(':')[0]
@@ -115,8 +125,8 @@
     assert (fault.key, fault.line) == (f'{section}.{key}', 5)
 
 
-def test_an_answer_that_is_held_is_never_too_large_to_be_whole():
+def test_buffered_answer_never_exceeds_the_answer_limit():
     bounds = attrs.fields_dict(settings.AnswerSettings)
 
-    most_held = bounds['held_bytes'].metadata['bounds'].most
-    assert most_held <= bounds['max_whole_bytes'].metadata['bounds'].least
+    max_held = bounds['held_bytes'].metadata['bounds'].most
+    assert max_held <= bounds['max_whole_bytes'].metadata['bounds'].least
--- a/tests/test_daemon/test_daemon_forwarding.py
+++ b/tests/test_daemon/test_daemon_forwarding.py
@@ -1,4 +1,4 @@
-"""What a forwarding router takes over when its settings are read again."""
+"""Which settings a forwarding router applies on a reload."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 )
 
 
-async def test_reload_changes_how_old_a_refusal_may_be():
-    # An operator shortens `apply_seconds` and has the settings read again;
-    # the line says that no new start is needed. The store was followed by
-    # the new figure, but that there is no such route, or no such credential,
-    # was told by a configuration as old as the former figure allowed.
+async def test_reload_changes_the_age_limit_of_refusals():
+    # Guards against a reload that changes `apply_seconds` for reading the
+    # store but not for refusals, although its log line names no need for a
+    # restart: unknown routes and credentials were still refused by a
+    # configuration as old as the former value allowed.
     settings = settings_module.RouterSettings(
         'router-1',
         'sala-a',
@@ -25,7 +25,7 @@
         forwarding=forwarding_settings.ForwardingSettings(LISTEN),
     )
     daemon = forwarding.ForwardingDaemon(settings)
-    shorter = attrs.evolve(settings.forwarding, apply_seconds=0.5)
-    daemon.reload(attrs.evolve(settings, forwarding=shorter))
+    changed = attrs.evolve(settings.forwarding, apply_seconds=0.5)
+    daemon.reload(attrs.evolve(settings, forwarding=changed))
     assert daemon.snapshots.settings.apply_seconds == 0.5
     assert daemon.forwarder.resolver.apply_seconds == 0.5
--- a/tests/test_load/test_load_driver.py
+++ b/tests/test_load/test_load_driver.py
@@ -1,4 +1,4 @@
-"""The load tool against the request path and against answers gone wrong."""
+"""The load generator against a request path with and without faults."""
 
 from __future__ import annotations
 
@@ -27,22 +27,24 @@
     return f'http://{path_fakes.HOST}:{path.port}'
 
 
-async def test_good_routers_get_a_clean_result():
+async def test_correct_answers_are_counted_as_whole():
     async with path_fakes.running() as path:
         result = await load.run_load(
             make_plan(), [address(path)], engine_texts.answer_text
         )
-        ran = path.services[0].log.records
+        records = path.services[0].log.records
     assert result.calls == result.whole > 5
     assert result.refused == result.wrong == result.cut == 0
-    done = [key for key, known in result.once_keys.items() if known]
-    assert sorted(item.idempotency_key for item in ran) == sorted(done)
+    run_keys = [key for key, was_run in result.once_keys.items() if was_run]
+    assert sorted(record.idempotency_key for record in records) == sorted(
+        run_keys
+    )
     assert 0 < result.cached_tokens < result.prompt_tokens
 
 
-async def test_wrong_answers_are_found():
-    # The checker knows the one right text of each answer: a router that
-    # passed on somebody else's would be found out.
+async def test_wrong_answers_are_counted():
+    # Guards against an undetected mix-up: a router that returns the answer of
+    # another request must be counted as wrong, by the expected text.
     async with path_fakes.running() as path:
         result = await load.run_load(
             make_plan(),
@@ -53,8 +55,8 @@
     assert 'chat' in result.examples[0]
 
 
-async def test_cut_answers_are_found():
-    # Every engine ends its streams early and nothing may be tried again.
+async def test_cut_answers_are_counted():
+    # Every engine ends its streams early and the router may not retry.
     async with path_fakes.running(retries=0) as path:
         for engine in path.engines:
             fault = engine_faults.Fault('short', after=1)
@@ -67,8 +69,8 @@
 
 
 async def test_call_that_was_not_run_is_sent_to_another_address():
-    # One of the addresses is gone, as during a restart: every call must be
-    # served by the other one.
+    # One of the addresses refuses connections, as during a restart: every call
+    # must be served at the other one.
     async with path_fakes.running() as path:
         result = await load.run_load(
             make_plan(),
@@ -93,9 +95,11 @@
     surge = load.Surge(('a',), 10.0, 5.0, 2.0)
     customers = (load.LoadCustomer('a', 'x'), load.LoadCustomer('b', 'y'))
     plan = load.LoadPlan('correo', customers, surges=(surge,))
-    assert plan.rate_of(0, 6.0) == pytest.approx(10 * plan.rate_of(0, 1.0))
-    assert plan.rate_of(1, 6.0) == plan.rate_of(1, 1.0)
-    assert plan.rate_of(0, 7.0) == plan.rate_of(0, 1.0)
+    assert plan.customer_rate(0, 6.0) == pytest.approx(
+        10 * plan.customer_rate(0, 1.0)
+    )
+    assert plan.customer_rate(1, 6.0) == plan.customer_rate(1, 1.0)
+    assert plan.customer_rate(0, 7.0) == plan.customer_rate(0, 1.0)
 
 
 async def test_equal_plans_make_equal_chats():
@@ -105,16 +109,18 @@
     for _ in range(5):
         left = first.chats.next_turn(0)
         right = second.chats.next_turn(0)
-        assert first.chats.body(left) == second.chats.body(right)
-        first.chats.put_back(left, 'answer')
-        second.chats.put_back(right, 'answer')
+        assert first.chats.request_body(left) == second.chats.request_body(
+            right
+        )
+        first.chats.complete_turn(left, 'answer')
+        second.chats.complete_turn(right, 'answer')
 
 
-def test_result_is_written_and_drawn(tmp_path):
+def test_result_is_written_and_plotted(tmp_path):
     result = results.LoadResult()
     for index in range(100):
-        result.time(results.Timing.CHAT, 0.001 * (index + 1))
-    result.note(results.Verdict.WHOLE)
+        result.record_latency(results.Timing.CHAT, 0.001 * (index + 1))
+    result.record_call(results.Verdict.WHOLE)
     stream = io.BytesIO()
     plots.write_histograms(result, stream)
     target = tmp_path / 'plot.png'
