--- a/lavenderbend/cmd/rules_show.py
+++ b/lavenderbend/cmd/rules_show.py
@@ -38,7 +38,7 @@
         revision = operator_options.call_router(
             arguments, lambda client: client.get('/v1/rules')
         )
-        # author and reason must not break the comment line
+        # author and reason must stay on one line of the comment
         by = ' '.join(f'{revision["author"]}: {revision["reason"]}'.split())
         text = (
             f'# revision {revision["number"]}\n'
--- a/lavenderbend/daemon/forwarding.py
+++ b/lavenderbend/daemon/forwarding.py
@@ -82,7 +82,7 @@
             self.forwarder.tracer = request_spans.Tracer()
 
     def make_state(self) -> None:
-        """Creates what tracks the configuration, the upstreams and their load."""
+        """Creates what tracks the configuration, upstreams and their load."""
         settings = self.settings
         self.store = store.PlatformStore(
             settings.key_value.endpoints[0], settings.key_value.timeout_seconds
--- a/tests/test_cmd/test_cmd_demo.py
+++ b/tests/test_cmd/test_cmd_demo.py
@@ -42,7 +42,7 @@
     """The report of a successful demo."""
     good_report = demo_report.DemoReport(demo_report.DemoPlan())
     result = results.LoadResult()
-    result.note(results.Verdict.WHOLE)
+    result.record_call(results.Verdict.WHOLE)
     good_report.loads['correo'] = result
     good_report.once_runs[1] = 3
     return good_report
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize('verdict', ['WRONG', 'CUT'])
 def test_one_wrong_or_cut_answer_fails_the_demo(report, verdict):
-    report.loads['correo'].note(results.Verdict[verdict])
+    report.loads['correo'].record_call(results.Verdict[verdict])
 
     assert report.failed
 
