--- a/lavenderbend/cmd/exit_codes.py
+++ b/lavenderbend/cmd/exit_codes.py
@@ -6,21 +6,21 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit tells a script.
+    """Exit codes, which tell scripts the outcome of a command.
 
     Attributes:
         OK: Done.
-        FAILED: Ran, and found what it is there to find: answers wrong or
-            cut off in `demo` and `load`, warnings in `rules check --strict`.
-        USAGE: The command line cannot be understood.
+        FAILED: The command ran and found failures: answers wrong or cut off
+            in `demo` and `load`, warnings in `rules check --strict`.
+        USAGE: The command line is invalid.
         SETTINGS: A settings or rules file cannot be used; nothing was done.
         UNREACHABLE: The operators' interface or a stand-in's address
             cannot be reached or bound.
         REFUSED: The operators' interface refused the call.
         CONFLICT: Another operator's change was accepted first.
         NOT_IN_FORCE: Accepted, but some routers have not reported it.
-        NOT_FOUND: No such decision, or it has been forgotten.
-        INTERRUPTED: Ended by the keyboard.
+        NOT_FOUND: No such decision, or it is no longer kept.
+        INTERRUPTED: Interrupted from the keyboard.
     """
 
     OK = 0
--- a/lavenderbend/daemon/demo_report.py
+++ b/lavenderbend/daemon/demo_report.py
@@ -63,12 +63,14 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a guarantee of the fleet was broken or no call succeeded.
+        """Whether a guarantee of the fleet was failed_calls or no call succeeded.
 
         The guarantees: no answer is wrong or cut off, no non-idempotent
         call runs twice, and none runs that was reported as not run.
         """
-        broken = sum(r.wrong + r.cut for r in self.loads.values())
-        twice = any(count > 1 for count in self.once_runs)
-        nothing = not any(r.whole for r in self.loads.values())
-        return bool(broken or twice or self.told_not_run or nothing)
+        failed_calls = sum(r.wrong + r.cut for r in self.loads.values())
+        ran_twice = any(count > 1 for count in self.once_runs)
+        none_succeeded = not any(r.whole for r in self.loads.values())
+        return bool(
+            failed_calls or ran_twice or self.told_not_run or none_succeeded
+        )
