--- a/lavenderbend/daemon/demo_report.py
+++ b/lavenderbend/daemon/demo_report.py
@@ -63,7 +63,7 @@
 
     @property
     def failed(self) -> bool:
-        """Whether a guarantee of the fleet was failed_calls or no call succeeded.
+        """Whether a guarantee of the fleet was broken or no call succeeded.
 
         The guarantees: no answer is wrong or cut off, no non-idempotent
         call runs twice, and none runs that was reported as not run.
