--- a/bench/relay/forwarding.py
+++ b/bench/relay/forwarding.py
@@ -145,12 +145,12 @@
 def silence_logs() -> None:
     """Has no request write a line: what lines cost is the difference."""
     logs.sample_request = lambda: False
-    logs.ORDINARY.rate = logs.ORDINARY.tokens = 0.0
+    logs.SUCCESS_BUDGET.rate = logs.SUCCESS_BUDGET.tokens = 0.0
 
 
 def write_logs() -> None:
     """Sends the lines where a router on a VM sends them: to a descriptor."""
-    logs.write_unblocked(os.open(os.devnull, os.O_WRONLY))
+    logs.write_nonblocking(os.open(os.devnull, os.O_WRONLY))
 
 
 async def serve(
--- a/lavenderbend/__init__.py
+++ b/lavenderbend/__init__.py
@@ -1,3 +1,3 @@
-"""A router fleet for very many returning chats."""
+"""A router fleet for large numbers of long-lived chats."""
 
 __version__ = '0.1.0'
--- a/lavenderbend/__main__.py
+++ b/lavenderbend/__main__.py
@@ -1,4 +1,4 @@
-"""The entry point of the command line."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 def main() -> None:
-    """Runs the command of the process's arguments and exits."""
+    """Runs the command given by the process arguments and exits."""
     if sys.argv[1:2] == [ROUTER_COMMAND]:
         startup_gc.disable()
         early_signals.defer()
         early_listener.open_from_environment()
-    # loaded only now: callers can connect while it takes its time
+    # Imported late because it is slow: the listener is already open, so
+    # callers can connect meanwhile.
     from lavenderbend.cmd import main as command_line
 
     sys.exit(int(command_line.run(sys.argv[1:])))
--- a/lavenderbend/cmd/router.py
+++ b/lavenderbend/cmd/router.py
@@ -35,7 +35,7 @@
         from lavenderbend.observe import tracing
 
         tracing.set_up(settings.id, settings.tracing.otlp_endpoint)
-    logs.write_unblocked(sys.stdout.fileno())
+    logs.write_nonblocking(sys.stdout.fileno())
     startup_gc.enable()
     trio.run(forwarding.run_router, settings, path)
     return exit_codes.ExitCode.OK
--- a/lavenderbend/coordination/dispatch/attempts.py
+++ b/lavenderbend/coordination/dispatch/attempts.py
@@ -62,7 +62,7 @@
             started=trio.current_time(),
         )
         self.hop = spans.Hop('attempt', span.headers, trace.SpanKind.CLIENT)
-        self.hop.note('upstream', permit.upstream.id)
+        self.hop.set_attribute('upstream', permit.upstream.id)
         self.answer: interfaces.UpstreamAnswer | None = None
         self.body: bodies.Body | None = None
         self.finished = False
--- a/lavenderbend/coordination/dispatch/dispatcher.py
+++ b/lavenderbend/coordination/dispatch/dispatcher.py
@@ -97,7 +97,7 @@
         chat = chat_hash(request)
         decision = records.begin(request, chat)
         hop = spans.Hop('dispatch', request.headers, trace.SpanKind.INTERNAL)
-        hop.note('request.id', request.id)
+        hop.set_attribute('request.id', request.id)
         finish = functools.partial(self.finish, request, decision, hop)
         self.components.decisions.add(decision)
         self.in_progress += 1
--- a/lavenderbend/coordination/forwarding/request_spans.py
+++ b/lavenderbend/coordination/forwarding/request_spans.py
@@ -35,7 +35,7 @@
     ) -> spans.Hop:
         """Returns the span of one attempt."""
         span = spans.Hop('attempt', ticket.span.headers, trace.SpanKind.CLIENT)
-        span.note('upstream', upstream.instance)
+        span.set_attribute('upstream', upstream.instance)
         return span
 
     def end_request(
@@ -50,7 +50,7 @@
             outcome: Kind of the error, empty if the request was answered.
         """
         if ticket is not None:
-            span.note('request.id', ticket.id)
-            span.note('rule', ticket.rule.name)
-            span.note('service', ticket.service)
+            span.set_attribute('request.id', ticket.id)
+            span.set_attribute('rule', ticket.rule.name)
+            span.set_attribute('service', ticket.service)
         span.end(outcome)
--- a/lavenderbend/errors.py
+++ b/lavenderbend/errors.py
@@ -1,4 +1,4 @@
-"""The errors of lavenderbend; each failure has its own type."""
+"""Exceptions of lavenderbend; each kind of failure has its own class."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Outcome(enum.Enum):
     """What a caller may conclude about its request.
 
-    `NOT_RUN` is a promise: nothing of the request can have run.
+    `NOT_RUN` is a guarantee: no part of the request can have run.
     """
 
     COMPLETE = 'complete'
@@ -29,14 +29,14 @@
     """Base of every error of this package.
 
     Attributes:
-        category: One word group that operators see before the message.
+        category: Kind of error, shown to operators before the message.
     """
 
     category = 'error'
 
 
 class RegistrationError(LavenderbendError):
-    """A name was registered twice, or looked up and not found."""
+    """A name is registered twice, or is not registered."""
 
     category = 'registration error'
 
@@ -48,44 +48,44 @@
 
 
 class PeerError(LavenderbendError):
-    """A peer router did not do what it was asked."""
+    """A call to a peer router failed."""
 
     category = 'peer error'
 
 
 class PeerUnreachable(PeerError):
-    """No answer came from the peer in time; it may have acted."""
+    """No reply from the peer in time; it may have acted on the message."""
 
 
 class PeerRefused(PeerError):
-    """The peer answered with an error; it has not acted."""
+    """The peer replied with an error; it has not acted on the message."""
 
 
 class CodecError(LavenderbendError):
-    """Bytes that are no message of ours."""
+    """Data cannot be encoded or decoded."""
 
     category = 'codec error'
 
 
 class KeyValueError(LavenderbendError):
-    """The key-value service did not do what it was asked."""
+    """A call to the key-value service failed."""
 
     category = 'key-value error'
 
 
 class KeyValueUnavailable(KeyValueError):
-    """The call did not reach the service, or the service refused it.
+    """The call did not reach the service, or was refused by it.
 
     Nothing was written.
     """
 
 
 class KeyValueUncertain(KeyValueError):
-    """The answer to a call was lost; a write may have taken effect."""
+    """The reply to a call was lost; a write may have taken effect."""
 
 
 class UpstreamError(LavenderbendError):
-    """An upstream did not answer as it should.
+    """A request to an upstream failed.
 
     Attributes:
         ended_by: Who ended the attempt.
@@ -96,23 +96,23 @@
 
 
 class UpstreamUnreachable(UpstreamError):
-    """No connection; no byte of the request has left."""
+    """No connection to the upstream; no byte of the request was sent."""
 
 
 class UpstreamWithdrawn(UpstreamUnreachable):
-    """It left, or asked for no requests, before this one was sent."""
+    """The upstream left or paused before the request was sent."""
 
 
 class UpstreamRefused(UpstreamError):
-    """The upstream refused the request before it started it."""
+    """The upstream refused the request without starting it."""
 
 
 class UpstreamReplaced(UpstreamRefused):
-    """Another process answered at the upstream's address; it has gone."""
+    """The upstream has gone; another process answered at its address."""
 
 
 class UpstreamBroke(UpstreamError):
-    """The connection or the answer broke after the request was sent."""
+    """The connection or the answer failed after the request was sent."""
 
     ended_by = EndedBy.ROUTER
 
@@ -124,7 +124,7 @@
 
 
 class UpstreamStalled(UpstreamBroke):
-    """No byte came within the time allowed."""
+    """The upstream sent no byte within the time allowed."""
 
 
 class AnswerMismatch(UpstreamError):
@@ -134,19 +134,20 @@
 
 
 class AnswerContradicts(UpstreamError):
-    """A further attempt answers something else than the caller has."""
+    """The answer of a retry contradicts what the caller has received."""
 
     ended_by = EndedBy.ROUTER
 
 
 class RequestError(LavenderbendError):
-    """A request that ends without its whole answer.
+    """A request ended without a complete answer.
 
     Attributes:
         outcome: What the caller may conclude.
         status: The HTTP status code.
         kind: The last part of the problem type (RFC 9457).
-        retry_after: Seconds after which another try makes sense, if any.
+        detail: What went wrong, for the caller.
+        retry_after: Seconds after which the caller may retry, if known.
     """
 
     category = 'request error'
@@ -168,14 +169,14 @@
 
 
 class RequestInvalid(RequestError):
-    """The request cannot be read."""
+    """The request is malformed."""
 
     status = 400
     kind = 'request-invalid'
 
 
 class RequestTooLarge(RequestError):
-    """Header or body are over the limit."""
+    """The header or the body of the request exceeds its size limit."""
 
     status = 413
     kind = 'request-too-large'
@@ -196,32 +197,32 @@
 
 
 class CustomerOverLimit(RequestError):
-    """The customer is over its limit."""
+    """The customer exceeds its limit."""
 
     status = 429
     kind = 'customer-over-limit'
 
 
 class NoUpstream(RequestError):
-    """No upstream of the pool may take the request."""
+    """No upstream of the pool is eligible for the request."""
 
     kind = 'no-upstream'
 
 
 class PoolFull(RequestError):
-    """Every upstream of the pool is at its limit until the deadline."""
+    """All upstreams of the pool were at their limits until the deadline."""
 
     kind = 'pool-full'
 
 
 class NotWaiting(RequestError):
-    """An owner does not know of the request that is said to wait there."""
+    """The request is not in the queue of the owner that was polled."""
 
     kind = 'not-waiting'
 
 
 class RouterStopping(RequestError):
-    """The router is stopping; another router takes the request."""
+    """The router is stopping; another router can accept the request."""
 
     kind = 'router-stopping'
 
@@ -233,34 +234,34 @@
 
 
 class ClaimUnavailable(RequestError):
-    """The claim of a non-idempotent request cannot be committed now."""
+    """The claim of a non-idempotent request cannot be committed at present."""
 
     kind = 'claim-unavailable'
 
 
 class IdempotencyKeyMissing(RequestError):
-    """A non-idempotent request without an Idempotency-Key."""
+    """A non-idempotent request has no Idempotency-Key."""
 
     status = 400
     kind = 'idempotency-key-missing'
 
 
 class IdempotencyKeyReused(RequestError):
-    """The same Idempotency-Key with another body."""
+    """The Idempotency-Key was already used with a different body."""
 
     status = 422
     kind = 'idempotency-key-reused'
 
 
 class RequestQuarantined(RequestError):
-    """The same request has crashed upstreams before."""
+    """The request is quarantined because it has crashed upstreams."""
 
     status = 422
     kind = 'request-quarantined'
 
 
 class RequestFailed(RequestError):
-    """The request ran and did not succeed."""
+    """The request ran and failed."""
 
     outcome = Outcome.FAILED
     status = 502
@@ -268,7 +269,7 @@
 
 
 class OutcomeUnknown(RequestError):
-    """The request may have run; nobody can tell."""
+    """The request may have run; the router cannot determine whether it did."""
 
     outcome = Outcome.UNKNOWN
     status = 504
@@ -283,7 +284,7 @@
         line: Line, counted from 1.
         key: Path of the key, such as `rules[2].then.timeout`.
         fault: What is wrong.
-        allowed: What may stand there.
+        allowed: Which values are allowed.
     """
 
     def __init__(
@@ -298,15 +299,15 @@
 
 
 class DocumentErrors(ExceptionGroup, SettingsError):
-    """All faults of a settings or rules file; nothing of it is used."""
+    """All faults of a settings or rules file, which is rejected as a whole."""
 
     def derive(self, excs: list[Exception]) -> DocumentErrors:
-        """Returns a group of the same type over other errors."""
+        """Returns a group of the same type with other errors."""
         return DocumentErrors(self.message, excs)
 
 
 class OperatorError(LavenderbendError):
-    """The operators' interface did not do what it was asked."""
+    """A call to the operators' interface failed."""
 
     category = 'operator error'
 
@@ -330,27 +331,27 @@
 
 
 class PeerTlsRequired(SettingsError):
-    """Peers would be served beyond loopback without mutual TLS."""
+    """Peer links on addresses other than loopback require mutual TLS."""
 
 
 class TlsFilesInvalid(SettingsError):
-    """Certificate, key or authorities of peer links cannot be used."""
+    """The certificate, key or CA file of peer links cannot be used."""
 
 
 class PeerProtocolError(PeerError):
-    """A peer broke the protocol, or is not who it says it is."""
+    """A peer violated the protocol or failed authentication."""
 
 
 class LogCompacted(KeyValueError):
-    """Entries of a log that were asked for have been deleted."""
+    """The requested log entries have been deleted."""
 
 
 class ClaimLayoutDiffers(KeyValueError):
-    """The claims are spread over another number of shards than here."""
+    """The stored claims use a different number of shards than this router."""
 
 
 class LeaseLost(KeyValueError):
-    """The lease is no longer surely held."""
+    """It is no longer certain that the lease is held."""
 
 
 class ConfigurationError(LavenderbendError):
@@ -360,18 +361,18 @@
 
 
 class ConfigurationInvalid(ConfigurationError):
-    """The document breaks its own terms; nothing was accepted."""
+    """The document is inconsistent; no revision was accepted."""
 
 
 class ConfigurationTooLarge(ConfigurationError):
-    """The document does not fit a value of the key-value service."""
+    """The document exceeds the value size of the key-value service."""
 
 
 class ConfigurationConflict(ConfigurationError):
-    """Another change was accepted since the revision that was seen.
+    """Another change was accepted since the revision that was edited.
 
     Attributes:
-        seen: Revision that the document was made from.
+        seen: Revision that the document is based on.
         newest: Newest accepted revision.
         difference: What changed between the two, one line each.
     """
@@ -389,20 +390,25 @@
 
 
 class ConfigurationStale(NoConfiguration):
-    """The router is cut off and its policy is to refuse requests."""
+    """The configuration may be outdated, and the request is refused.
+
+    Either the router is cut off from the key-value service and all peers and
+    its policy is to refuse requests, or the request requires a more recent
+    configuration.
+    """
 
     kind = 'configuration-stale'
 
 
 class OrderError(UpstreamError):
-    """An engine did not carry out an order."""
+    """An engine did not execute an order."""
 
 
 class OrderRefused(OrderError):
     """The engine has seen a higher fencing number.
 
     Attributes:
-        highest: That number.
+        highest: The highest fencing number that the engine has seen.
     """
 
     def __init__(self, highest: int) -> None:
@@ -411,13 +417,13 @@
 
 
 class AnswerInterrupted(LavenderbendError):
-    """A write to a caller would follow one that was cut half done."""
+    """A write to a caller would follow an interrupted write."""
 
     category = 'answer interrupted'
 
 
 class CallerGone(RequestError):
-    """The caller went away before its answer was whole."""
+    """The caller disconnected before its answer was complete."""
 
     outcome = Outcome.UNKNOWN
     status = 499
--- a/lavenderbend/observe/logs.py
+++ b/lavenderbend/observe/logs.py
@@ -1,4 +1,4 @@
-"""Structured log lines, by eliot: changes of state, and ended requests."""
+"""Structured log lines written with eliot: state changes and requests."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from lavenderbend.observe import log_writer
 from lavenderbend.observe import metrics
 
-# of a trace, the end of which says most
-MAX_TRACE = 4000
+# Characters kept of a traceback; its end names the exception.
+MAX_TRACEBACK_CHARACTERS = 4000
 
-ORDINARY = log_writer.LineBudget(
-    log_writer.ORDINARY_PER_SECOND, log_writer.ORDINARY_BURST
+SUCCESS_BUDGET = log_writer.LineBudget(
+    log_writer.SUCCESS_LINES_PER_SECOND, log_writer.SUCCESS_LINES_BURST
 )
 SAMPLED_OUT = metrics.counter(
     'lavenderbend_log_requests_left_out_total',
@@ -25,32 +25,35 @@
 def change(event: str, **fields: Any) -> None:
     """Writes a line for a change of state, such as `router_left`.
 
-    Requests are counted; those that forwarding ended have lines of their
-    own, see `request_ended`.
+    Requests are counted in metrics; requests that forwarding has ended also
+    get lines, see `request_ended`.
     """
     eliot.log_message(message_type=f'lavenderbend:{event}', **fields)
 
 
 def fault(event: str, exc: BaseException) -> None:
-    """Writes a line for an exception that nothing expected, with its trace."""
+    """Writes a line for an unexpected exception, with its traceback."""
     trace = ''.join(traceback.format_exception(exc))
-    change(event, kind=type(exc).__name__, trace=trace[-MAX_TRACE:])
+    change(
+        event, kind=type(exc).__name__, trace=trace[-MAX_TRACEBACK_CHARACTERS:]
+    )
 
 
 def sample_request() -> bool:
-    """Returns whether a request's lines are written even if it ends well.
+    """Returns whether a request's lines are written even if it succeeds.
 
-    Over a rate they are not, so that failures keep their room.
+    Above the rate of `SUCCESS_BUDGET` they are not, so that successful
+    requests do not use up the lines that failures need.
     """
-    return ORDINARY.try_take()
+    return SUCCESS_BUDGET.try_take()
 
 
 def request_ended(left_out: bool, **fields: Any) -> None:
     """Writes the line of a request that has ended.
 
     Args:
-        left_out: Whether it is only counted.
-        **fields: Inputs of the decision and the outcome.
+        left_out: Whether the request is only counted and gets no line.
+        **fields: Inputs of the routing decision, and the outcome.
     """
     if left_out:
         SAMPLED_OUT.inc({})
@@ -59,12 +62,12 @@
 
 
 def write_to(stream: Any) -> None:
-    """Sends the lines, as JSON, to a stream."""
+    """Writes log lines as JSON to a stream."""
     eliot.to_file(stream)
 
 
-def write_unblocked(descriptor: int) -> log_writer.LogWriter:
-    """Sends the lines to a file descriptor that is never waited for."""
+def write_nonblocking(descriptor: int) -> log_writer.LogWriter:
+    """Writes log lines to a file descriptor without blocking."""
     writer = log_writer.LogWriter(descriptor)
     eliot.add_destinations(writer)
     return writer
--- a/lavenderbend/observe/metrics.py
+++ b/lavenderbend/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the process, kept by aioprometheus."""
+"""Metrics of the process, collected with aioprometheus."""
 
 from __future__ import annotations
 
--- a/lavenderbend/observe/spans.py
+++ b/lavenderbend/observe/spans.py
@@ -1,4 +1,4 @@
-"""A span for each hop, which costs next to nothing without an exporter."""
+"""Spans of a request, one per hop, with little cost when not exported."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def recording() -> bool:
-    """Returns whether spans go anywhere."""
+    """Returns whether spans are recorded, which needs a tracer provider."""
     provider = trace.get_tracer_provider()
     return not isinstance(provider, trace.ProxyTracerProvider)
 
 
 class Hop:
-    """One span; without an exporter the caller's context is passed on.
+    """One span, or the received trace context if nothing is recorded.
 
     Attributes:
         span: The span, None if nothing is recorded.
-        headers: The trace context for the next hop.
+        headers: Trace context headers for the next hop.
     """
 
     def __init__(
@@ -44,13 +44,17 @@
             self.headers, context=trace.set_span_in_context(self.span)
         )
 
-    def note(self, key: str, value: str | int | float) -> None:
-        """Sets an attribute."""
+    def set_attribute(self, key: str, value: str | int | float) -> None:
+        """Sets an attribute of the span."""
         if self.span is not None:
             self.span.set_attribute(key, value)
 
     def end(self, error: str = '') -> None:
-        """Ends the span; a second call does nothing."""
+        """Ends the span; a second call does nothing.
+
+        Args:
+            error: Description of the failure; empty on success.
+        """
         if self.span is None:
             return
         if error:
--- a/lavenderbend/observe/tracing.py
+++ b/lavenderbend/observe/tracing.py
@@ -1,4 +1,4 @@
-"""Traces, a span for each hop, by OpenTelemetry."""
+"""Set-up of tracing with OpenTelemetry."""
 
 from __future__ import annotations
 
@@ -7,35 +7,37 @@
 from opentelemetry import trace
 from opentelemetry.trace.propagation import tracecontext
 
-# a collector that is down delays the end of a process by two of these
-EXPORT_SECONDS = 2.0
+# An unreachable collector delays process exit by twice this timeout.
+EXPORT_TIMEOUT_SECONDS = 2.0
 PROPAGATOR = tracecontext.TraceContextTextMapPropagator()
 
 
 def tracer() -> trace.Tracer:
     """Returns the tracer of the package.
 
-    Spans follow the current context, which trio tasks inherit.
+    New spans have the current context as parent; trio tasks inherit it from
+    the task that starts them.
     """
     return trace.get_tracer('lavenderbend')
 
 
 def set_up(name: str, otlp_endpoint: str | None) -> None:
-    """Sends the spans of this process to an OTLP/HTTP address.
+    """Exports the spans of this process over OTLP/HTTP.
 
-    Without an address the API's own no-op tracer stays, whose spans cost
-    next to nothing and still carry the caller's traceparent on.
+    Without an address the no-op tracer of the OpenTelemetry API stays in
+    use, whose spans cost very little and still propagate the caller's
+    traceparent.
 
     Args:
         name: Id of the router, as `service.instance.id`.
-        otlp_endpoint: Address of the collector, or None.
+        otlp_endpoint: URL of the collector, or None to export nothing.
     """
     if otlp_endpoint is None:
         return
-    # the exporter would write a line for each batch that it cannot deliver
+    # The exporter would log a line for each batch it cannot deliver.
     logging.getLogger('opentelemetry').addHandler(logging.NullHandler())
     logging.getLogger('opentelemetry').propagate = False
-    # the SDK takes a tenth of a second to import; only who traces pays
+    # Importing the SDK takes 0.1 s, so it is imported only when needed.
     from opentelemetry.exporter.otlp.proto.http import trace_exporter
     from opentelemetry.sdk import resources
     from opentelemetry.sdk import trace as sdk
@@ -46,7 +48,7 @@
     )
     provider = sdk.TracerProvider(resource=resource)
     exporter = trace_exporter.OTLPSpanExporter(
-        endpoint=otlp_endpoint, timeout=EXPORT_SECONDS
+        endpoint=otlp_endpoint, timeout=EXPORT_TIMEOUT_SECONDS
     )
     provider.add_span_processor(export.BatchSpanProcessor(exporter))
     trace.set_tracer_provider(provider)
--- a/lavenderbend/registry.py
+++ b/lavenderbend/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill."""
+"""Registries of named classes and functions, filled by decorators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,12 @@
 
 
 class Registry(Generic[T]):
-    """Variants of one kind, by name."""
+    """Maps names to the registered implementations of one kind.
+
+    Attributes:
+        kind: What is registered, for error messages.
+        entries: The implementations by name.
+    """
 
     def __init__(self, kind: str) -> None:
         self.kind = kind
@@ -26,7 +31,7 @@
         """Returns a decorator that registers its class or function.
 
         Raises:
-            RegistrationError: The name is taken.
+            RegistrationError: The name is already registered.
         """
 
         def decorate(entry: T) -> T:
@@ -43,15 +48,15 @@
         return decorate
 
     def get(self, name: str) -> T:
-        """Returns the entry.
+        """Returns the entry registered under a name.
 
         Raises:
-            RegistrationError: Nothing has that name.
+            RegistrationError: The name is not registered.
         """
         if name not in self.entries:
-            known = ', '.join(sorted(self.entries))
+            names = ', '.join(sorted(self.entries))
             raise errors.RegistrationError(
-                f'no {self.kind} {name!r}; there are: {known}'
+                f'no {self.kind} {name!r}; there are: {names}'
             )
         return self.entries[name]
 
--- a/lavenderbend/transport/callers.py
+++ b/lavenderbend/transport/callers.py
@@ -186,7 +186,7 @@
         scope = quart.request.scope
         headers = read_headers(scope)
         hop = spans.Hop('request', headers, trace.SpanKind.SERVER)
-        hop.note('request.id', request_id)
+        hop.set_attribute('request.id', request_id)
         try:
             request = await self.read_request(scope, headers, request_id, hop)
             answer = await self.dispatcher.dispatch(request)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,8 @@
-"""Makes every run of a test schedule its tasks in the same order."""
+"""Fixtures and hooks for all tests.
+
+Tasks are scheduled in the same order in each run, and tests that are listed
+in KNOWN-RED.txt are not run unless they are named on the command line.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,7 @@
 
 
 def known_red():
-    """Returns the tests of known open faults, with their lines."""
+    """Returns the lines of KNOWN-RED.txt by test id."""
     if not KNOWN_RED.exists():
         return {}
     lines = KNOWN_RED.read_text().splitlines()
@@ -25,43 +29,47 @@
     return [f'known red, not run: {line}' for line in known_red().values()]
 
 
-def refuse_real_time(items):
-    """Refuses tests that would run in real time and seem not to.
+def reject_real_time(items):
+    """Rejects tests that get the virtual clock only through a fixture.
+
+    Only a test that names the virtual clock as a parameter of its own runs on
+    it. With the clock in a fixture only, the test would run in real time and
+    fail on a busy machine.
 
-    Only a test that names the virtual clock itself runs on it; by a fixture
-    that does it would run in real time, and fail on a busy machine.
+    Raises:
+        pytest.UsageError: There are such tests.
     """
-    slow = [
+    real_time = [
         item.nodeid
         for item in items
         if CLOCK in item.fixturenames
         and CLOCK not in inspect.signature(item.function).parameters
     ]
-    if slow:
-        raise pytest.UsageError(f'name {CLOCK} in: {", ".join(slow)}')
+    if real_time:
+        raise pytest.UsageError(f'name {CLOCK} in: {", ".join(real_time)}')
 
 
 def pytest_runtest_logreport(report):
-    # a run that is ended has no summary: who failed must stand there before
+    # A run that is killed prints no summary, so failures are printed at once.
     if report.failed:
         print(f'\nfailed in {report.when}: {report.nodeid}', flush=True)
 
 
 def pytest_collection_modifyitems(config, items):
-    refuse_real_time(items)
-    # a real fault that is open stays listed and printed; CI passes over
-    # just the tests that are named, and whoever asks for one gets it
+    reject_real_time(items)
+    # Tests of open faults stay listed and printed in the report header. CI
+    # skips only these; one named on the command line does run.
     listed = known_red().keys() - set(config.args)
-    left_out = [item for item in items if item.nodeid in listed]
-    if left_out:
-        config.hook.pytest_deselected(items=left_out)
+    deselected = [item for item in items if item.nodeid in listed]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
         items[:] = [item for item in items if item.nodeid not in listed]
 
 
 @pytest.fixture(autouse=True)
-def same_scheduling():
-    # trio draws the order of tasks that are ready together at random, to
-    # show where code relies on it; a verdict that changes from run to run
-    # hides faults instead
+def deterministic_scheduling():
+    # trio runs tasks that are ready at the same time in random order, to show
+    # where code relies on it. Results that change from run to run would hide
+    # faults instead, so the seed is fixed.
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(SCHEDULER_SEED)
--- a/tests/test_coordination/test_forwarding_lines.py
+++ b/tests/test_coordination/test_forwarding_lines.py
@@ -23,7 +23,7 @@
 @pytest.fixture
 def lines(monkeypatch):
     budget = log_writer.LineBudget(1000.0, 1000.0)
-    monkeypatch.setattr(logs, 'ORDINARY', budget)
+    monkeypatch.setattr(logs, 'SUCCESS_BUDGET', budget)
     # Messages that other tests in this process logged without a destination
     # are delivered to the first one added: keep them out of this test's list.
     eliot.add_destinations(ignore)
@@ -99,7 +99,7 @@
 ):
     # A flood of ordinary requests uses up the log rate. A request that fails
     # among them must still have all lines needed to find the cause.
-    logs.ORDINARY.rate = logs.ORDINARY.tokens = 0.0
+    logs.SUCCESS_BUDGET.rate = logs.SUCCESS_BUDGET.tokens = 0.0
     rule = fakes.rule(idempotent=True, attempts=2)
     router = make_router([fakes.LOST_ANSWER], rule)
     await router.send_request()
@@ -117,7 +117,7 @@
 async def test_ordinary_request_above_the_log_rate_is_only_counted(
     autojump_clock, lines
 ):
-    logs.ORDINARY.rate = logs.ORDINARY.tokens = 0.0
+    logs.SUCCESS_BUDGET.rate = logs.SUCCESS_BUDGET.tokens = 0.0
     router = make_router([fakes.reply()], fakes.rule())
     await router.send_request()
     assert events(lines) == []
--- a/tests/test_observe/test_log_writer.py
+++ b/tests/test_observe/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Log lines that never make the router wait."""
+"""Tests that writing log lines never blocks the router."""
 
 from __future__ import annotations
 
@@ -35,51 +35,52 @@
     assert json.loads(drain(reader)) == {'message_type': 'a', 'n': 1}
 
 
-def test_reader_that_stops_holds_nothing_up(pipe):
-    # The collector of the logs hangs and its pipe is full. Each request
-    # would wait for it; instead lines are dropped, and counted in the next.
+def test_stopped_reader_does_not_block_the_writer(pipe):
+    # A log collector that hangs leaves the pipe full, and each request would
+    # block on its log line. Lines are dropped instead, and the next line that
+    # is accepted carries their number.
     reader, writer = pipe
-    log = log_writer.LogWriter(writer, max_waiting_bytes=2000)
-    log.lines.tokens = log.lines.burst = 1e6
+    log = log_writer.LogWriter(writer, max_buffered_bytes=2000)
+    log.line_budget.tokens = log.line_budget.burst = 1e6
     for number in range(20_000):
         log({'n': number, 'text': 'x' * 100})
-    assert log.waiting_bytes <= 2000
+    assert log.buffered_bytes <= 2000
     assert log.dropped > 0
-    left_out = log.dropped
+    dropped = log.dropped
     drain(reader)
     log({'n': 'after'})
     lines = drain(reader).splitlines()
-    assert json.loads(lines[-1])['lines_left_out'] >= left_out
+    assert json.loads(lines[-1])['lines_left_out'] >= dropped
 
 
-def test_no_line_is_torn(pipe):
+def test_partial_writes_keep_lines_intact(pipe):
     reader, writer = pipe
-    log = log_writer.LogWriter(writer, max_waiting_bytes=200_000)
-    log.lines.tokens = log.lines.burst = 1e6
-    got = b''
+    log = log_writer.LogWriter(writer, max_buffered_bytes=200_000)
+    log.line_budget.tokens = log.line_budget.burst = 1e6
+    output = b''
     for number in range(3000):
         log({'n': number, 'text': 'x' * 150})
         if number % 500 == 0:
-            got += drain(reader)
+            output += drain(reader)
     log.flush()
-    got += drain(reader)
+    output += drain(reader)
     log.flush()
-    got += drain(reader)
-    for line in got.splitlines():
+    output += drain(reader)
+    for line in output.splitlines():
         json.loads(line)
 
 
 def test_volume_is_bounded():
     now = [0.0]
     budget = log_writer.LineBudget(10.0, 20.0, lambda: now[0])
-    taken = 0
+    written = 0
     for _ in range(1000):
         now[0] += 0.01
-        taken += budget.try_take()
-    assert taken <= 10.0 * 10 + 20
+        written += budget.try_take()
+    assert written <= 10.0 * 10 + 20
 
 
-def test_reader_that_is_gone_is_no_error():
+def test_closed_reader_raises_no_error():
     reader, writer = os.pipe()
     os.close(reader)
     log = log_writer.LogWriter(writer)
--- a/tests/test_observe/test_observe_tracing.py
+++ b/tests/test_observe/test_observe_tracing.py
@@ -16,7 +16,8 @@
 
 
 def run(endpoint):
-    # the tracer provider can be set once in a process, so each case has one
+    # The tracer provider can be set only once in a process, so each test
+    # case runs in a process of its own.
     return subprocess.run(
         [sys.executable, '-c', SCRIPT.format(endpoint=endpoint)],
         capture_output=True,
@@ -26,14 +27,14 @@
     )
 
 
-def test_without_an_endpoint_spans_cost_nothing():
+def test_without_an_endpoint_the_sdk_is_not_loaded():
     assert run(None).stdout.split() == ['False', 'False']
 
 
 @pytest.mark.parametrize('endpoint', ['http://127.0.0.1:1/v1/traces'])
-def test_an_endpoint_that_is_down_does_not_fail_the_router(endpoint):
-    # story: the collector is down while a router stops. The spans are lost;
-    # the router still ends, and its exit code says that it stopped well.
+def test_unreachable_endpoint_does_not_fail_the_router(endpoint):
+    # The collector is unreachable while a router stops. The spans are lost,
+    # but the router must still exit, with an exit code of 0.
     result = run(endpoint)
 
     assert result.stdout.split() == ['True', 'True']
