--- a/bench/agreed/order_rolls.py
+++ b/bench/agreed/order_rolls.py
@@ -325,6 +325,6 @@
     read_seconds: float = 60.0,
 ) -> Result:
     """Runs the trial on the virtual clock."""
-    policy = policy or orders_module.OrderPolicy(load_gap=4.0)
+    policy = policy or orders_module.OrderPolicy(load_interval=4.0)
     trial = Trial(seconds, seed, policy, engines_check, read_seconds)
     return fleets.virtual(seed, trial.run)
--- a/lavenderbend/coordination/dispatch/records.py
+++ b/lavenderbend/coordination/dispatch/records.py
@@ -54,7 +54,7 @@
         idempotency_key=request.idempotency_key or '',
         adapter=request.adapter or '',
         availability_zone=request.availability_zone,
-        headers=rules.kept_headers(request.headers),
+        headers=rules.recorded_headers(request.headers),
     )
 
 
--- a/lavenderbend/coordination/explain.py
+++ b/lavenderbend/coordination/explain.py
@@ -1,4 +1,4 @@
-"""What would happen to a request, without sending anything."""
+"""Explains what would be decided for a request, without sending it."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 @attrs.frozen
 class RuleStep:
-    """One rule that was looked at.
+    """One rule that was tried.
 
     Attributes:
-        rule: Its name.
-        failed: First condition that does not hold, empty if it matched.
+        rule: Name of the rule.
+        failed: First condition that does not hold, empty if the rule matches.
     """
 
     rule: str
@@ -44,14 +44,16 @@
 
 @attrs.frozen
 class CandidateStep:
-    """One upstream of the pool, in the order of trying.
+    """One upstream of the pool.
+
+    Candidates are listed in the order in which they would be tried.
 
     Attributes:
         upstream: VM id.
-        availability_zone: Its zone.
-        load: Load in its last report, None without one.
+        availability_zone: Its availability zone.
+        load: Load in its latest report, None without one.
         report_age: Seconds since that report was taken, None without one.
-        verdict: Whether it would be taken, or why not.
+        verdict: Whether it would be chosen, or why not.
     """
 
     upstream: str
@@ -63,20 +65,20 @@
 
 @attrs.frozen
 class Explanation:
-    """Everything that would be decided for a request.
+    """What would be decided for a request.
 
-    The loads are those of this router's last reports; a group's owner,
-    which also counts its permits and knows where a chat's context is, may
-    take another candidate.
+    The loads are from the latest reports that this router has. The owner of
+    a group also counts its permits and knows which upstream holds a chat's
+    context, so it may choose another candidate.
 
     Attributes:
         revision: Number of the configuration.
-        steps: The rules that were looked at, in order.
-        rule: Name of the rule that matches, empty if none.
-        then: What the rule says, None without a rule.
-        allowed_load: Highest load the bound allows on one upstream now.
+        steps: The rules that were tried, in order.
+        rule: Name of the rule that matches, empty if none does.
+        then: Action of that rule, None without one.
+        allowed_load: Highest load that the bound now allows on one upstream.
         candidates: Upstreams of the pool.
-        verdict: The end of it, in one line.
+        verdict: The result in one line.
     """
 
     revision: int
@@ -94,14 +96,14 @@
     membership: membership_module.FleetMembership,
     request: requests.Request,
 ) -> Explanation:
-    """Returns what would be decided for a request now."""
-    facts = rules.facts_of(request)
+    """Explains what would be decided for a request now."""
+    attributes = rules.attributes_of_request(request)
     steps = []
     matched = None
-    for compiled in rule_set.rules(revision).rules:
-        failed = compiled.failed(facts)
-        steps.append(RuleStep(compiled.rule.name, failed))
-        if not failed:
+    for compiled in rule_set.compiled_rules(revision).rules:
+        failed_condition = compiled.first_failed_condition(attributes)
+        steps.append(RuleStep(compiled.rule.name, failed_condition))
+        if not failed_condition:
             matched = compiled.rule
             break
     base = Explanation(revision.number, tuple(steps))
@@ -122,120 +124,129 @@
     membership: membership_module.FleetMembership,
     request: requests.Request,
 ) -> Explanation:
-    """Returns the explanation with the upstreams of the pool."""
+    """Adds the upstreams of the pool and the result to an explanation."""
     model = request.model
     if base.then is not None and base.then.model is not None:
         model = base.then.model
-    able = []
-    unable = []
+    eligible = []
+    ineligible = []
     for vm in membership.upstreams(pool.service):
-        if serves(pool, membership.report(vm.id), model):
-            able.append(vm)
+        if may_serve(pool, membership.report(vm.id), model):
+            eligible.append(vm)
         else:
-            unable.append(step(vm, membership, WRONG_MODEL))
-    unable += held_back(pool, membership)
-    if not able:
-        return attrs.evolve(base, candidates=tuple(unable), verdict=NO_UPSTREAM)
-    allowed, steps, choice = try_candidates(pool, able, membership, request)
+            ineligible.append(candidate_step(vm, membership, WRONG_MODEL))
+    ineligible += excluded_candidates(pool, membership)
+    if not eligible:
+        return attrs.evolve(
+            base, candidates=tuple(ineligible), verdict=NO_UPSTREAM
+        )
+    allowed, steps, choice = try_candidates(pool, eligible, membership, request)
     verdict = ALL_PASSED_OVER
     if choice.upstream is not None:
         verdict = f'{choice.upstream} {TAKEN}: {choice.reason}'
     return attrs.evolve(
         base,
         allowed_load=allowed,
-        candidates=(*steps, *unable),
+        candidates=(*steps, *ineligible),
         verdict=verdict,
     )
 
 
-def held_back(
+def excluded_candidates(
     pool: configuration.Pool, membership: membership_module.FleetMembership
 ) -> list[CandidateStep]:
-    """Returns the upstreams that get no new work now, and why."""
-    taking = {vm.id for vm in membership.upstreams(pool.service)}
+    """Returns the upstreams that get no new requests now, and why."""
+    accepting = {vm.id for vm in membership.upstreams(pool.service)}
     return [
-        step(vm, membership, membership.explain(vm.id))
+        candidate_step(vm, membership, membership.explain(vm.id))
         for vm in membership.all_vms()
-        if vm.service == pool.service and vm.id not in taking
+        if vm.service == pool.service and vm.id not in accepting
     ]
 
 
 def try_candidates(
     pool: configuration.Pool,
-    able: list[upstreams.Vm],
+    eligible: list[upstreams.Vm],
     membership: membership_module.FleetMembership,
     request: requests.Request,
 ) -> tuple[int, tuple[CandidateStep, ...], placement.Choice]:
-    """Returns the allowed load, the candidates and the choice."""
+    """Returns the allowed load, the candidates' steps and the choice."""
     options = [
         placement.Candidate(
-            vm.id, instance_of(membership, vm.id), load_of(membership, vm.id)
+            vm.id,
+            reported_instance(membership, vm.id),
+            reported_load(membership, vm.id),
         )
-        for vm in able
+        for vm in eligible
     ]
     total = sum(option.load for option in options)
-    allowed = placement.allowed_load(pool, total, len(able))
+    allowed = placement.allowed_load(pool, total, len(eligible))
     tie_break = hashing.hash64(request.id)
     tried = placement.order(options, (), tie_break)
     choice = placement.choose(tried, allowed, pool.max_load)
-    by_id = {vm.id: vm for vm in able}
+    by_id = {vm.id: vm for vm in eligible}
     steps = tuple(
-        step(
+        candidate_step(
             by_id[candidate.upstream],
             membership,
-            verdict_on(candidate, reason, choice, allowed, pool.max_load),
+            candidate_verdict(
+                candidate, reason, choice, allowed, pool.max_load
+            ),
         )
         for candidate, reason in tried
     )
     return allowed, steps, choice
 
 
-def verdict_on(
+def candidate_verdict(
     candidate: placement.Candidate,
     reason: str,
     choice: placement.Choice,
     allowed: int,
     max_load: int,
 ) -> str:
-    """Returns what would become of one candidate."""
+    """Returns whether a candidate would be chosen, or why not."""
     if candidate.upstream == choice.upstream:
         return f'{TAKEN}: {reason}'
     return placement.refusal_reason(candidate, allowed, max_load) or LATER
 
 
-def serves(
+def may_serve(
     pool: configuration.Pool,
     report: upstreams.LoadReport | None,
     model: str | None,
 ) -> bool:
-    """Returns whether an upstream can take a request for the model."""
+    """Returns whether an upstream may serve a request for the model.
+
+    An engine without a load report may serve any model.
+    """
     if pool.kind is not upstreams.UpstreamKind.ENGINE or not model:
         return True
     return report is None or not report.models or model in report.models
 
 
-def load_of(
+def reported_load(
     membership: membership_module.FleetMembership, upstream: str
 ) -> int:
-    """Returns the load in the last report, 0 without one."""
+    """Returns the load in the latest report, 0 without one."""
     report = membership.report(upstream)
     return report.load if report else 0
 
 
-def instance_of(
+def reported_instance(
     membership: membership_module.FleetMembership, upstream: str
 ) -> str:
-    """Returns the instance in the last report, empty without one."""
+    """Returns the instance in the latest report, empty without one."""
     report = membership.report(upstream)
     return report.instance if report else ''
 
 
-def step(
+def candidate_step(
     vm: upstreams.Vm,
     membership: membership_module.FleetMembership,
     verdict: str,
 ) -> CandidateStep:
-    """Returns the line of one upstream."""
+    """Returns the step of one upstream with a verdict."""
     report = membership.report(vm.id)
     if report is None:
         return CandidateStep(vm.id, vm.availability_zone, None, None, verdict)
--- a/lavenderbend/coordination/forwarding/decision_records.py
+++ b/lavenderbend/coordination/forwarding/decision_records.py
@@ -65,7 +65,7 @@
         detail=detail,
         at=time.time() - duration,
         duration=duration,
-        headers=rules_module.kept_headers(headers),
+        headers=rules_module.recorded_headers(headers),
     )
     if ticket is None:
         return record
--- a/lavenderbend/coordination/orders/__init__.py
+++ b/lavenderbend/coordination/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Engines are brought to the models that operators want."""
+"""Orders engines to load the models that operators configure."""
--- a/lavenderbend/coordination/orders/calls.py
+++ b/lavenderbend/coordination/orders/calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines: orders under a lease, and reading them back."""
+"""Calls to engines: sending orders under a lease, and reading states."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from lavenderbend.state import orders
     from lavenderbend.state import upstreams
 
-READS_AT_ONCE = 32
+MAX_CONCURRENT_READS = 32
 
 ORDERS = metrics.counter(
     'lavenderbend_orders_total', 'Orders to engines by result.'
@@ -26,7 +26,12 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of one order."""
+    """Outcome of sending one order.
+
+    `HELD_BACK`: not sent, as the lease may be over. `REFUSED`: the engine has
+    seen a higher fencing number. `FAILED`: the engine could not carry it out.
+    `LOST`: no reply; it may be carried out.
+    """
 
     DONE = 'done'
     HELD_BACK = 'held-back'
@@ -36,11 +41,11 @@
 
 
 class EngineCalls:
-    """Speaks to the engines of one pool for the holder of its lease.
+    """Calls the engines of one pool on behalf of the holder of its lease.
 
     Attributes:
-        orderer: Sends orders and reads engines.
-        lease: The lease.
+        orderer: Sends orders and reads engine states.
+        lease: The lease of the pool.
         policy: How orders are sent.
     """
 
@@ -57,8 +62,8 @@
     async def read(
         self, vms: Iterable[upstreams.Vm]
     ) -> dict[str, orders.EngineState]:
-        """Returns the states of the engines that can be read now."""
-        limiter = trio.CapacityLimiter(READS_AT_ONCE)
+        """Returns the states of the engines that could be read, by VM id."""
+        limiter = trio.CapacityLimiter(MAX_CONCURRENT_READS)
         states: dict[str, orders.EngineState] = {}
 
         async def read_one(vm: upstreams.Vm) -> None:
@@ -78,7 +83,7 @@
     async def deliver(
         self, vm: upstreams.Vm, order: orders.EngineOrder
     ) -> OrderResult:
-        """Sends an order under the lease."""
+        """Sends an order under the lease; returns its outcome."""
         timeout = self.policy.order_timeout
         result = OrderResult.DONE
         try:
@@ -92,7 +97,8 @@
             result = OrderResult.HELD_BACK
         except errors.OrderRefused:
             result = OrderResult.REFUSED
-            # somebody holds a newer lease, whatever the clock says
+            # Another router holds a newer lease, even if by the clock this
+            # one has not expired.
             self.lease.note_lost()
         except errors.OrderError:
             result = OrderResult.FAILED
--- a/lavenderbend/coordination/orders/memory.py
+++ b/lavenderbend/coordination/orders/memory.py
@@ -1,4 +1,4 @@
-"""What order controllers of one pool tell their successors."""
+"""Results of past orders, which a pool's next controller reads."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @attrs.frozen
 class Failures:
-    """Orders that failed in a row.
+    """Consecutive failed orders of one target.
 
     Attributes:
-        target: What was ordered.
-        count: How many failed.
+        target: Target of the orders.
+        count: Number of failed orders.
     """
 
     target: orders.Target
@@ -32,17 +32,18 @@
 
 
 class OrderMemory:
-    """Targets known to be good or bad, in one key of the service.
+    """Targets known to be good or bad, stored under one key of the service.
 
     Attributes:
         store: The key-value service.
         key: The key.
-        good: Target that a whole roll ended with, by model.
-        bad: Targets whose roll was stopped, by model.
+        good: Target of the last completed rollout, by model.
+        bad: Target whose rollout was stopped, by model.
         failures: The latest target that failed and how often, by model.
-        changes: Counts what was noted.
-        saved: Up to which of the changes the service is known to hold.
-        saving: Held by the save that is in progress.
+        revision: Store revision of the key, 0 while it does not exist.
+        changes: Number of changes made here.
+        saved_changes: Number of those that the service is known to hold.
+        save_lock: Held while a save is in progress.
     """
 
     def __init__(self, store: interfaces.KeyValueStore, key: str) -> None:
@@ -53,68 +54,70 @@
         self.failures: dict[str, Failures] = {}
         self.revision = 0
         self.changes = 0
-        self.saved = 0
-        self.saving = trio.Lock()
+        self.saved_changes = 0
+        self.save_lock = trio.Lock()
 
     async def load(self) -> None:
-        """Reads what earlier controllers left.
+        """Reads what earlier controllers stored.
 
         Raises:
-            KeyValueError: The service does not answer.
+            KeyValueError: The service cannot be reached.
         """
-        found = await self.store.read(self.key)
+        result = await self.store.read(self.key)
         self.revision = 0
         self.good, self.bad, self.failures = {}, {}, {}
-        self.saved = self.changes
-        if not found.items:
+        self.saved_changes = self.changes
+        if not result.items:
             return
-        self.revision = found.items[0].mod_revision
-        value = json.loads(found.items[0].value)
-        self.good = targets(value['good'])
-        self.bad = targets(value['bad'])
+        self.revision = result.items[0].mod_revision
+        value = json.loads(result.items[0].value)
+        self.good = targets_from_json(value['good'])
+        self.bad = targets_from_json(value['bad'])
         self.failures = {
-            model: Failures(read_target(item['target']), item['count'])
-            for model, item in value['failures'].items()
+            model: Failures(
+                target_from_json(failures['target']), failures['count']
+            )
+            for model, failures in value['failures'].items()
         }
 
     def note_good(self, target: orders.Target) -> None:
-        """Notes a target that all its engines serve."""
+        """Records a target whose rollout is complete."""
         if self.good.get(target.model) != target:
             self.good[target.model] = target
             self.changes += 1
 
     def note_bad(self, target: orders.Target) -> None:
-        """Notes a target that engines failed to serve."""
+        """Records a target that engines failed to serve."""
         if self.bad.get(target.model) != target:
             self.bad[target.model] = target
             self.changes += 1
 
     def note_failure(self, target: orders.Target) -> int:
-        """Counts an order that failed; returns how many have.
+        """Counts a failed order; returns how many have failed in a row.
 
-        The count outlives the controller: controllers that change often
-        would try a bad version on engine after engine otherwise.
+        The count is stored for the next controller: if controllers change
+        often, each would otherwise try a bad version on further engines.
         """
-        known = self.failures.get(target.model)
+        earlier = self.failures.get(target.model)
         count = 1
-        if known is not None and known.target == target:
-            count += known.count
+        if earlier is not None and earlier.target == target:
+            count += earlier.count
         self.failures[target.model] = Failures(target, count)
         self.changes += 1
         return count
 
-    def forget_bad(self, model: str, wanted: orders.Target) -> None:
-        """Forgets a bad target once something else is wanted."""
-        if model in self.bad and self.bad[model] != wanted:
+    def clear_bad(self, model: str, configured: orders.Target) -> None:
+        """Removes the bad target of a model if another one is configured."""
+        if model in self.bad and self.bad[model] != configured:
             del self.bad[model]
             self.changes += 1
 
     async def save(self) -> None:
-        """Writes what has changed; a failure leaves it for the next time."""
-        async with self.saving:
-            if self.saved == self.changes:
+        """Writes unsaved changes; after a failure the next call retries."""
+        async with self.save_lock:
+            if self.saved_changes == self.changes:
                 return
-            # what is noted from here on is not part of this save
+            # Changes made while the write is in progress are not part of it.
             changes = self.changes
             value = self.encode()
             try:
@@ -122,52 +125,52 @@
             except errors.KeyValueError:
                 return
             if written:
-                self.saved = changes
+                self.saved_changes = changes
 
     def encode(self) -> bytes:
-        """Returns what is known, as it stands in the service."""
+        """Returns the value to store in the service."""
         return json.dumps(
             {
-                'good': plain(self.good),
-                'bad': plain(self.bad),
-                'failures': plain(self.failures),
+                'good': to_json(self.good),
+                'bad': to_json(self.bad),
+                'failures': to_json(self.failures),
             }
         ).encode()
 
     async def write(self, value: bytes) -> bool:
-        """Writes a value; returns whether it stands in the service.
+        """Writes a value; returns whether the service now holds it.
 
         Raises:
-            KeyValueError: The service does not answer.
+            KeyValueError: The service cannot be reached.
         """
         if self.revision:
             await self.store.replace(self.key, value, self.revision)
         else:
             await self.store.create(self.key, value)
-        # read back: the answer may have been lost, or another controller
-        # may have written since
-        found = await self.store.read(self.key)
-        self.revision = found.items[0].mod_revision if found.items else 0
-        return bool(found.items) and found.items[0].value == value
+        # Read the key back: the reply to the write may have been lost, or
+        # another controller may have written since.
+        result = await self.store.read(self.key)
+        self.revision = result.items[0].mod_revision if result.items else 0
+        return bool(result.items) and result.items[0].value == value
 
 
-def targets(value: dict[str, dict]) -> dict[str, orders.Target]:
+def targets_from_json(value: dict[str, dict]) -> dict[str, orders.Target]:
     """Returns targets by model from their JSON form."""
-    return {model: read_target(item) for model, item in value.items()}
+    return {model: target_from_json(target) for model, target in value.items()}
 
 
-def read_target(item: dict) -> orders.Target:
+def target_from_json(value: dict) -> orders.Target:
     """Returns a target from its JSON form."""
     return orders.Target(
-        item['model'],
-        item['version'],
-        tuple(item['adapters']),
-        item['role'],
+        value['model'],
+        value['version'],
+        tuple(value['adapters']),
+        value['role'],
     )
 
 
-def plain(
-    items: Mapping[str, orders.Target | Failures],
+def to_json(
+    by_model: Mapping[str, orders.Target | Failures],
 ) -> dict[str, dict[str, Any]]:
-    """Returns what is known by model, as JSON can hold it."""
-    return {model: attrs.asdict(item) for model, item in items.items()}
+    """Returns the JSON form of targets or failures by model."""
+    return {model: attrs.asdict(value) for model, value in by_model.items()}
--- a/lavenderbend/coordination/orders/orders.py
+++ b/lavenderbend/coordination/orders/orders.py
@@ -1,4 +1,4 @@
-"""Brings engines to their desired state, by one controller a pool."""
+"""Orders engines to the configured targets, by one controller per pool."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from lavenderbend.state import upstreams
 
 DEFAULT_PREFIX = '/lavenderbend/orders/'
-CANDIDATES = 3
+CANDIDATES_PER_POOL = 3
 
 
 @attrs.frozen
@@ -31,21 +31,23 @@
     """How orders are sent.
 
     Attributes:
-        lease_seconds: Time granted to a controller.
-        margin: Seconds by which clocks and messages may be late.
-        order_timeout: Seconds until an order's answer is given up.
-        engine_read_seconds: An engine drops a request whose body has not
-            come for so long. Engines that ignore fencing numbers must keep
-            to this.
-        interval: Seconds between two readings of the engines.
-        settle_seconds: Time in which an engine must serve what it was
-            ordered to.
-        bake_seconds: Time for which a first engine must serve a new target
-            before others follow.
-        failures: Orders that may fail before their target is bad.
-        loads_at_once: Orders in progress at once.
-        load_gap: Least seconds between two orders: the weight store's rate.
-        unavailable: Share of a model's engines that may be down at once.
+        lease_seconds: Duration of a controller's lease.
+        margin: Seconds allowed for clock errors and message delays.
+        order_timeout: Seconds to wait for the reply to an order.
+        engine_read_seconds: Time after which an engine drops a request whose
+            body has not arrived. Engines that ignore fencing numbers must
+            adhere to it.
+        interval: Seconds between two readings of the engine states.
+        settle_seconds: Time within which an engine must serve the target of
+            an order.
+        bake_seconds: Time for which the first engine must serve a new target
+            before it is ordered from other engines.
+        failures: Consecutive failed orders after which a target is bad.
+        loads_at_once: Maximum number of orders in progress.
+        load_interval: Minimum seconds between two orders, which bounds the
+            load on the weight store.
+        unavailable: Fraction of a model's engines that may be unavailable at
+            the same time.
     """
 
     lease_seconds: float = 60.0
@@ -57,17 +59,20 @@
     bake_seconds: float = 30.0
     failures: int = 2
     loads_at_once: int = 4
-    load_gap: float = 1.0
+    load_interval: float = 1.0
     unavailable: float = 0.25
 
     @property
     def takeover_wait(self) -> float:
-        """Seconds a new controller waits if engines ignore its number."""
+        """Seconds a new controller waits if engines ignore fencing numbers.
+
+        After this time no order of the former controller can take effect.
+        """
         return self.engine_read_seconds + self.order_timeout + self.margin
 
 
 class Orderer(abc.ABC):
-    """Sends orders to engines and reads engines back."""
+    """Sends orders to engines and reads their states."""
 
     @abc.abstractmethod
     async def send(
@@ -79,42 +84,47 @@
     ) -> None:
         """Sends an order and waits until the engine has carried it out.
 
-        `check` is called at the last moment before the order's body leaves,
-        on a connection whose request has already begun; what it raises ends
-        the request.
+        `check` is called right before the body of the order is sent, when
+        the request headers are already sent; an exception from it aborts the
+        request.
 
         Raises:
             OrderRefused: The engine has seen a higher fencing number.
-            OrderError: The engine says that it failed.
-            UpstreamRefused: The engine did not start it and may do so later.
-            UpstreamBroke: No answer; the order may be carried out.
-            LeaseLost: From `check`; the order did not leave.
+            OrderError: The engine replied that the order failed.
+            UpstreamRefused: The engine did not start the order; it may be
+                sent again.
+            UpstreamBroke: No reply; the order may be carried out.
+            LeaseLost: Raised by `check`; the order was not sent.
         """
 
     @abc.abstractmethod
     async def read(
         self, vm: upstreams.Vm, timeout: float
     ) -> orders.EngineState:
-        """Reads an engine back.
+        """Reads the state of an engine.
 
         Raises:
-            UpstreamError: It cannot be read now.
+            UpstreamError: The state cannot be read now.
         """
 
 
 class OrderController:
-    """Runs a controller for each pool of its region that has orders.
+    """Runs controllers for pools of this router's region that have orders.
+
+    For each pool a few routers of the region are candidates; the lease decides
+    which of them sends orders.
 
     Attributes:
         name: Id of this router.
         store: The key-value service.
-        membership: Routers and engines.
+        membership: Live routers and engines.
         configurations: The configuration in force.
         orderer: Sends orders.
         rng: Source of jitter.
-        prefix: Where leases and memory are kept, one for each region.
+        prefix: Prefix of the keys of leases and results, one for each region.
         policy: How orders are sent.
-        pools: Controllers that run here, by pool.
+        pools: Controllers that run on this router, by pool.
+        scopes: Their cancel scopes, by pool.
     """
 
     def __init__(
@@ -140,41 +150,41 @@
         self.scopes: dict[str, trio.CancelScope] = {}
 
     async def run(self) -> None:
-        """Follows configuration and membership until cancelled."""
+        """Follows the configuration and the membership until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self.adjust(nursery)
+                self.update_controllers(nursery)
                 await trio.sleep(self.policy.interval)
 
-    def adjust(self, nursery: trio.Nursery) -> None:
-        """Starts and stops controllers."""
-        mine = self.mine()
-        for pool in sorted(mine - self.pools.keys()):
+    def update_controllers(self, nursery: trio.Nursery) -> None:
+        """Starts and stops controllers to match `candidate_pools`."""
+        pools = self.candidate_pools()
+        for pool in sorted(pools - self.pools.keys()):
             self.pools[pool] = self.controller(pool)
             self.scopes[pool] = trio.CancelScope()
             nursery.start_soon(self.run_pool, pool)
-        for pool in sorted(self.pools.keys() - mine):
+        for pool in sorted(self.pools.keys() - pools):
             del self.pools[pool]
             self.scopes.pop(pool).cancel()
 
-    def mine(self) -> set[str]:
+    def candidate_pools(self) -> set[str]:
         """Returns the pools for which this router is a candidate.
 
-        Candidates are those of the region: a router sees the engines of its
-        own region, and a controller elsewhere would leave them without
-        orders.
+        Candidates are chosen among the routers of the region: a router sees
+        only the engines of its own region, so a controller in another region
+        would send them no orders.
         """
         try:
             document = self.configurations.current().document
         except errors.RequestError:
             return set(self.pools)
         routers = {*self.membership.region_routers(), self.name}
-        found = set()
-        for pool in {item.pool for item in document.orders}:
+        pools = set()
+        for pool in {order.pool for order in document.orders}:
             ranked = hashing.rendezvous_order(f'orders {pool}', routers)
-            if self.name in ranked[:CANDIDATES]:
-                found.add(pool)
-        return found
+            if self.name in ranked[:CANDIDATES_PER_POOL]:
+                pools.add(pool)
+        return pools
 
     def controller(self, pool: str) -> pool_orders.PoolController:
         """Returns a new controller of a pool."""
@@ -192,7 +202,7 @@
         return pool_orders.PoolController(pool, lease, memory, self)
 
     async def run_pool(self, pool: str) -> None:
-        """Runs a controller until its pool is given up."""
+        """Runs a controller until it is cancelled, then releases its lease."""
         controller = self.pools[pool]
         try:
             with self.scopes[pool]:
--- a/lavenderbend/coordination/orders/pools.py
+++ b/lavenderbend/coordination/orders/pools.py
@@ -1,4 +1,4 @@
-"""Orders for the engines of one pool, sent under a lease."""
+"""Controller that sends orders to the engines of one pool."""
 
 from __future__ import annotations
 
@@ -21,31 +21,36 @@
 
 
 @attrs.define
-class Sent:
-    """An order that was sent and not seen to be carried out.
+class PendingOrder:
+    """An order that was sent and is not known to be carried out.
 
     Attributes:
-        target: What was ordered.
-        at: When.
-        answered: Whether the call is over.
+        target: Target of the order.
+        sent_at: Clock when it was order.
+        answered: Whether the call to the engine has ended.
     """
 
     target: orders.Target
-    at: float
+    sent_at: float
     answered: bool = False
 
 
 class PoolController:
-    """Orders the engines of one pool while it holds the lease.
+    """Sends orders to the engines of one pool while it holds the lease.
 
     Attributes:
-        pool: The pool.
-        lease: The lease.
-        memory: What earlier controllers left.
+        pool: Name of the pool.
+        lease: The lease of the pool.
+        memory: Results that earlier controllers stored.
         engines: Calls to the engines.
-        states: Engines as last read.
-        sent: Orders in progress, by engine.
-        proven: Targets that an engine has served well for some time.
+        states: States of the engines as last read, by engine.
+        pending: Orders in progress, by engine.
+        healthy_since: Clock since which a target is served by a healthy
+            engine.
+        proven: Targets that an engine has served for `bake_seconds`.
+        fencing_announced: Engines that have seen the fencing number of this
+            lease.
+        last_sent: Clock when the last order was order.
     """
 
     def __init__(
@@ -65,46 +70,46 @@
             controller.orderer, lease, controller.policy
         )
         self.states: dict[str, orders.EngineState] = {}
-        self.sent: dict[str, Sent] = {}
-        self.well_since: dict[orders.Target, float] = {}
+        self.pending: dict[str, PendingOrder] = {}
+        self.healthy_since: dict[orders.Target, float] = {}
         self.proven: set[orders.Target] = set()
-        self.announced: set[str] = set()
+        self.fencing_announced: set[str] = set()
         self.last_sent = float('-inf')
 
     async def run(self) -> None:
-        """Holds the lease and orders, again and again."""
+        """Acquires the lease and sends orders, again after each loss of it."""
         while True:
             await self.lease.acquire()
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self.hold, nursery.cancel_scope)
-                nursery.start_soon(self.order, nursery)
+                nursery.start_soon(self.renew_lease, nursery.cancel_scope)
+                nursery.start_soon(self.send_orders, nursery)
 
-    async def hold(self, scope: trio.CancelScope) -> None:
-        """Keeps the lease; its loss ends everything done under it."""
+    async def renew_lease(self, scope: trio.CancelScope) -> None:
+        """Renews the lease; cancels all work under it when it is lost."""
         await self.lease.renew_until_lost()
         scope.cancel()
 
-    async def order(self, nursery: trio.Nursery) -> None:
-        """Reads the engines and sends what they need, until cancelled."""
-        self.sent.clear()
-        self.announced.clear()
-        self.well_since.clear()
+    async def send_orders(self, nursery: trio.Nursery) -> None:
+        """Reads the engines and sends orders until cancelled."""
+        self.pending.clear()
+        self.fencing_announced.clear()
+        self.healthy_since.clear()
         if not self.checks_fencing():
-            # engines that ignore the number would carry out an order that
-            # the last holder began before it was paused: it is over, or
-            # dropped by the engine, when this has passed
+            # Engines that ignore fencing numbers would carry out an order
+            # that the former holder began before it was paused. After this
+            # wait the order has ended, or the engine has dropped it.
             await trio.sleep(self.policy.takeover_wait)
         await self.load_memory()
         while True:
             self.states = await self.engines.read(self.vms().values())
-            await self.announce()
-            self.judge()
-            self.send_steps(nursery)
+            await self.announce_fencing()
+            self.update_outcomes()
+            self.start_due_orders(nursery)
             await self.memory.save()
             await trio.sleep(self.policy.interval)
 
     async def load_memory(self) -> None:
-        """Reads what earlier controllers left, however long it takes."""
+        """Reads what earlier controllers stored; retries until it succeeds."""
         while True:
             try:
                 await self.memory.load()
@@ -120,100 +125,113 @@
         return pool is not None and pool.checks_fencing
 
     def document(self) -> configuration.Configuration:
-        """Returns the configuration in force, an empty one without."""
+        """Returns the configuration in force, an empty one if there is none."""
         try:
             return self.configurations.current().document
         except errors.RequestError:
             return configuration.Configuration()
 
     def vms(self) -> dict[str, upstreams.Vm]:
-        """Returns the engines of the pool."""
+        """Returns the engines of the pool, by VM id."""
         pool = self.document().pool(self.pool)
         if pool is None:
             return {}
         return {vm.id: vm for vm in self.membership.upstreams(pool.service)}
 
-    def wanted(self) -> tuple[orders.Wanted, ...]:
-        """Returns what is wanted, with the last good for a bad target."""
-        found = []
-        for item in self.document().orders:
-            if item.pool != self.pool:
+    def configured_targets(self) -> tuple[orders.Wanted, ...]:
+        """Returns the configured targets of the pool's models.
+
+        A bad target is replaced by the last good one of its model; without a
+        good one the model is frozen.
+        """
+        configured = []
+        for order in self.document().orders:
+            if order.pool != self.pool:
                 continue
             target = orders.Target(
-                item.model, item.version, item.adapters, item.role
+                order.model, order.version, order.adapters, order.role
             )
-            self.memory.forget_bad(item.model, target)
-            bad = self.memory.bad.get(item.model) == target
-            good = self.memory.good.get(item.model)
+            self.memory.clear_bad(order.model, target)
+            bad = self.memory.bad.get(order.model) == target
+            good = self.memory.good.get(order.model)
             if bad and good is not None:
-                found.append(orders.Wanted(good, item.replicas))
+                configured.append(orders.Wanted(good, order.replicas))
             else:
-                found.append(orders.Wanted(target, item.replicas, bad))
-        return tuple(found)
+                configured.append(orders.Wanted(target, order.replicas, bad))
+        return tuple(configured)
 
-    async def announce(self) -> None:
-        """Shows the new number to engines that check it.
+    async def announce_fencing(self) -> None:
+        """Sends the fencing number of this lease to engines that check it.
 
-        Until an engine has seen it, an order that the last holder began
-        before a pause would be carried out. An order for what the engine
-        serves already changes nothing but the number.
+        Until an engine has seen it, the engine would still carry out an order
+        that the former holder began before it was paused. The number is sent
+        with an order for the target that the engine already serves, which
+        changes nothing else.
         """
         if not self.checks_fencing():
             return
         vms = self.vms()
         async with trio.open_nursery() as nursery:
-            for engine in sorted(self.states.keys() - self.announced):
+            for engine in sorted(self.states.keys() - self.fencing_announced):
                 if engine in vms:
-                    nursery.start_soon(self.announce_to, vms[engine])
+                    nursery.start_soon(self.announce_fencing_to, vms[engine])
 
-    async def announce_to(self, vm: upstreams.Vm) -> None:
-        """Shows the new number to one engine."""
+    async def announce_fencing_to(self, vm: upstreams.Vm) -> None:
+        """Sends the fencing number of this lease to one engine."""
         state = self.states[vm.id]
         if state.fencing >= self.lease.fencing:
-            self.announced.add(vm.id)
+            self.fencing_announced.add(vm.id)
             return
         order = orders.EngineOrder(self.lease.fencing, state.target)
         result = await self.engines.deliver(vm, order)
         if result is order_calls.OrderResult.DONE:
-            self.announced.add(vm.id)
+            self.fencing_announced.add(vm.id)
 
-    def judge(self) -> None:
-        """Compares what engines serve with what they were ordered to."""
+    def update_outcomes(self) -> None:
+        """Compares what engines serve with the targets of their orders."""
         now = trio.current_time()
-        for engine, sent in list(self.sent.items()):
+        for engine, order in list(self.pending.items()):
             state = self.states.get(engine)
             healthy = state is not None and state.healthy
-            if healthy and state.target == sent.target:
-                del self.sent[engine]
-                self.well_since.setdefault(sent.target, now)
-            elif now - sent.at > self.policy.settle_seconds:
-                self.fail(engine, sent.target)
-            elif sent.answered and healthy:
-                # the answer was lost and the order with it: again
-                del self.sent[engine]
-        for target, since in self.well_since.items():
+            if healthy and state.target == order.target:
+                del self.pending[engine]
+                self.healthy_since.setdefault(order.target, now)
+            elif now - order.sent_at > self.policy.settle_seconds:
+                self.record_failure(engine, order.target)
+            elif order.answered and healthy:
+                # The reply was lost, and the order too, as the healthy engine
+                # does not serve its target: it may be sent again.
+                del self.pending[engine]
+        for target, since in self.healthy_since.items():
             if now - since >= self.policy.bake_seconds:
                 self.proven.add(target)
-        for item in self.wanted():
-            self.judge_roll(item)
+        for configured in self.configured_targets():
+            self.update_rollout(configured)
 
-    def judge_roll(self, item: orders.Wanted) -> None:
-        """Notes a roll that is complete, or a target seen to be served."""
-        right = [
+    def update_rollout(self, configured: orders.Wanted) -> None:
+        """Records whether a target is served, and whether by all replicas."""
+        serving = [
             engine
             for engine, state in self.states.items()
-            if state.target == item.target and state.healthy
+            if state.target == configured.target and state.healthy
         ]
-        if not right:
-            self.well_since.pop(item.target, None)
+        if not serving:
+            self.healthy_since.pop(configured.target, None)
             return
-        self.well_since.setdefault(item.target, trio.current_time())
-        if len(right) >= item.replicas and item.target in self.proven:
-            self.memory.note_good(item.target)
+        self.healthy_since.setdefault(configured.target, trio.current_time())
+        if (
+            len(serving) >= configured.replicas
+            and configured.target in self.proven
+        ):
+            self.memory.note_good(configured.target)
+
+    def record_failure(self, engine: str, target: orders.Target) -> None:
+        """Records that an engine failed to serve a target.
 
-    def fail(self, engine: str, target: orders.Target) -> None:
-        """Notes that an engine failed a target; stops a bad roll."""
-        self.sent.pop(engine, None)
+        After `OrderPolicy.failures` failures in a row the rollout is stopped,
+        unless the target is the last good one.
+        """
+        self.pending.pop(engine, None)
         if self.memory.note_failure(target) < self.policy.failures:
             return
         if self.memory.good.get(target.model) == target:
@@ -226,49 +244,54 @@
             version=target.version,
         )
 
-    def send_steps(self, nursery: trio.Nursery) -> None:
-        """Starts the next orders, within the limits."""
+    def start_due_orders(self, nursery: trio.Nursery) -> None:
+        """Starts the next orders, within the limits of the policy."""
         situation = orders.Situation(
             self.states,
-            {engine: sent.target for engine, sent in self.sent.items()},
+            {engine: order.target for engine, order in self.pending.items()},
             self.proven,
             self.policy.unavailable,
         )
         vms = self.vms()
-        for step in orders.plan(self.wanted(), situation):
-            if len(self.sent) >= self.policy.loads_at_once:
+        for step in orders.plan(self.configured_targets(), situation):
+            if len(self.pending) >= self.policy.loads_at_once:
                 return
             now = trio.current_time()
-            if now - self.last_sent < self.policy.load_gap:
+            if now - self.last_sent < self.policy.load_interval:
                 return
-            if step.upstream not in vms or not self.may_order(step.upstream):
+            if step.upstream not in vms or not self.may_send_to(step.upstream):
                 continue
             state = self.states[step.upstream]
             if state.target == step.target:
-                # it came to this target and does not serve it: the order
-                # of an earlier controller failed, whose count is lost
-                self.fail(step.upstream, step.target)
+                # The engine has loaded this target but is not healthy: the
+                # order of an earlier controller failed, and the failure was
+                # not counted.
+                self.record_failure(step.upstream, step.target)
                 if self.is_bad(step.target):
                     return
             self.last_sent = now
-            self.sent[step.upstream] = Sent(step.target, now)
-            nursery.start_soon(self.send, vms[step.upstream], step.target)
+            self.pending[step.upstream] = PendingOrder(step.target, now)
+            nursery.start_soon(self.send_order, vms[step.upstream], step.target)
 
     def is_bad(self, target: orders.Target) -> bool:
-        """Returns whether the roll of a target was stopped."""
+        """Returns whether the rollout of a target was stopped."""
         return self.memory.bad.get(target.model) == target
 
-    def may_order(self, engine: str) -> bool:
-        """Returns whether an engine can be ordered safely now."""
-        return engine in self.announced or not self.checks_fencing()
+    def may_send_to(self, engine: str) -> bool:
+        """Returns whether an order may be sent to an engine now.
+
+        An engine that checks fencing numbers must have seen the current one.
+        """
+        return engine in self.fencing_announced or not self.checks_fencing()
 
-    async def send(self, vm: upstreams.Vm, target: orders.Target) -> None:
-        """Sends one order."""
-        sent = self.sent[vm.id]
+    async def send_order(self, vm: upstreams.Vm, target: orders.Target) -> None:
+        """Sends one order and records its outcome."""
+        pending = self.pending[vm.id]
         order = orders.EngineOrder(self.lease.fencing, target)
         result = await self.engines.deliver(vm, order)
-        sent.answered = True
+        pending.answered = True
         if result is order_calls.OrderResult.FAILED:
-            self.fail(vm.id, target)
-            # at once: a successor must know before it tries the next engine
+            self.record_failure(vm.id, target)
+            # Saved at once: the next controller must know of the failure
+            # before it tries another engine.
             await self.memory.save()
--- a/lavenderbend/coordination/rules/checks.py
+++ b/lavenderbend/coordination/rules/checks.py
@@ -1,4 +1,4 @@
-"""Warnings about rules that can never be the first to match."""
+"""Warnings about rules that can never be the first match."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @attrs.frozen
 class RuleWarning:
-    """Something acceptable that its author hardly meant.
+    """A valid but probably unintended part of a configuration.
 
     Attributes:
-        rule: Name of the rule.
-        text: What is odd about it.
+        rule: Name of the rule, empty if the warning is about a pool.
+        text: Description of the problem.
     """
 
     rule: str
@@ -26,60 +26,63 @@
 
 
 def warnings(document: configuration.Configuration) -> list[RuleWarning]:
-    """Returns the rules that can never match, and unused pools."""
-    found = []
+    """Returns warnings for rules that can never match and unused pools."""
+    warnings_list = []
     earlier = EarlierRules()
     for rule in document.rules:
-        cover = earlier.cover_of(rule)
+        cover = earlier.covering_rule(rule)
         if rule.when.share <= 0:
             text = f'rule {rule.name!r} never matches: its share is 0%'
-            found.append(RuleWarning(rule.name, text))
+            warnings_list.append(RuleWarning(rule.name, text))
         elif cover is not None:
             text = (
                 f'rule {rule.name!r} never matches: rule '
                 f'{cover.name!r} before it takes all its requests'
             )
-            found.append(RuleWarning(rule.name, text))
+            warnings_list.append(RuleWarning(rule.name, text))
         earlier.add(rule)
     used = {rule.then.pool for rule in document.rules}
     for pool in document.pools:
         if pool.name not in used:
             text = f'pool {pool.name!r} is used by no rule'
-            found.append(RuleWarning('', text))
-    return found
+            warnings_list.append(RuleWarning('', text))
+    return warnings_list
 
 
 class EarlierRules:
-    """Rules seen so far, by what they say of customers.
+    """Index of rules by the customers that they name.
 
-    Comparing each rule with each other one takes most of a second at 1000
-    rules; most pairs differ in the customer.
+    Comparing each rule with each other one takes most of a second with 1000
+    rules, although most pairs name different customers.
 
     Attributes:
-        open: Rules for all customers, or for prefixes of names.
-        named: Rules by each customer that they name.
+        unrestricted: Rules for all customers or with prefixes of names.
+        by_customer: The other rules, by each customer that they name.
     """
 
     def __init__(self) -> None:
-        self.open: list[configuration.Rule] = []
-        self.named: dict[str, list[configuration.Rule]] = {}
+        self.unrestricted: list[configuration.Rule] = []
+        self.by_customer: dict[str, list[configuration.Rule]] = {}
 
     def add(self, rule: configuration.Rule) -> None:
         """Adds a rule."""
         texts = rule.when.customer
         if not texts or any(text.endswith('*') for text in texts):
-            self.open.append(rule)
+            self.unrestricted.append(rule)
             return
         for text in texts:
-            self.named.setdefault(text, []).append(rule)
+            self.by_customer.setdefault(text, []).append(rule)
 
-    def cover_of(self, later: configuration.Rule) -> configuration.Rule | None:
-        """Returns a rule that takes all requests of a later one."""
-        candidates = self.open
+    def covering_rule(
+        self, later: configuration.Rule
+    ) -> configuration.Rule | None:
+        """Returns an earlier rule that matches all requests of a later one."""
+        candidates = self.unrestricted
         if later.when.customer:
-            # a cover takes each customer of the later rule, so also this
-            named = self.named.get(later.when.customer[0], [])
-            candidates = [*candidates, *named]
+            # A covering rule matches every customer of the later rule, so it
+            # is enough to look up the first.
+            naming = self.by_customer.get(later.when.customer[0], [])
+            candidates = [*candidates, *naming]
         for earlier in candidates:
             if covers(earlier.when, later.when):
                 return earlier
@@ -87,14 +90,14 @@
 
 
 def covers(earlier: configuration.When, later: configuration.When) -> bool:
-    """Returns whether all that the later takes is taken by the earlier.
+    """Returns whether all requests that `later` matches match `earlier`.
 
-    Only what can be proven from one rule is reported: several earlier
-    rules that cover a later one only together are not noticed.
+    Only single rules are compared: several earlier rules that cover a later
+    one only together are not detected.
     """
     if earlier.share < 100:
         return False
-    for name in rules.TEXT_FACTS:
+    for name in rules.TEXT_ATTRIBUTES:
         if not texts_cover(getattr(earlier, name), getattr(later, name)):
             return False
     for name, text in earlier.header.items():
@@ -106,7 +109,7 @@
 
 
 def texts_cover(earlier: tuple[str, ...], later: tuple[str, ...]) -> bool:
-    """Returns whether each text of the later is within the earlier."""
+    """Returns whether each pattern of `later` is covered by `earlier`."""
     if not earlier:
         return True
     if not later:
@@ -117,7 +120,7 @@
 
 
 def text_covers(outer: str, inner: str) -> bool:
-    """Returns whether all that fits the inner text fits the outer."""
+    """Returns whether all that matches `inner` matches `outer`."""
     if outer.endswith('*'):
         return inner.removesuffix('*').startswith(outer[:-1])
     return outer == inner
--- a/lavenderbend/coordination/rules/differences.py
+++ b/lavenderbend/coordination/rules/differences.py
@@ -1,4 +1,4 @@
-"""Which recorded requests would go another way under other rules."""
+"""Compares what two revisions of the rules decide for recorded requests."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 @attrs.frozen
 class Difference:
-    """One recorded request that would go another way.
+    """One recorded request that the new rules would treat differently.
 
     Attributes:
-        decision: Id of the decision.
-        customer: Its customer.
-        path: Its path.
-        old_rule: Rule that matches now, empty if none.
-        new_rule: Rule that would match, empty if none.
-        changed: What of the way would change, such as `pool` or `timeout`.
+        decision: Id of the recorded decision.
+        customer: Customer of the request.
+        path: Path of the request.
+        old_rule: Rule that matches by the old revision, empty if none.
+        new_rule: Rule that matches by the new revision, empty if none.
+        changed: Fields of the rule's action that would change, such as
+            `pool` or `timeout`.
     """
 
     decision: str
@@ -40,13 +41,13 @@
 
 @attrs.frozen
 class Comparison:
-    """The result of trying other rules on recorded decisions.
+    """Result of applying two revisions of the rules to recorded decisions.
 
     Attributes:
-        compared: How many decisions were tried.
-        differences: Those that would go another way.
-        uncertain: Ids of decisions that have not kept a header which one
-            of the two sets of rules looks at.
+        compared: Number of decisions compared.
+        differences: Those that the new rules would treat differently.
+        uncertain: Ids of decisions without a recorded value of a header that
+            decides whether a rule of either revision matches.
     """
 
     compared: int
@@ -59,22 +60,22 @@
     old: configuration.Revision,
     new: configuration.Revision,
 ) -> Comparison:
-    """Returns what would change for recorded decisions."""
+    """Returns how recorded decisions differ between two revisions."""
     old_rules = rules.CompiledRules(old.document.rules)
     new_rules = rules.CompiledRules(new.document.rules)
     count = 0
-    found = []
+    differing = []
     uncertain = []
     for decision in recorded:
         count += 1
-        facts = rules.facts_of_decision(decision)
-        before, sure = first_match(old_rules, facts)
-        after, still_sure = first_match(new_rules, facts)
-        if not (sure and still_sure):
+        attributes = rules.attributes_of_decision(decision)
+        before, certain = first_match(old_rules, attributes)
+        after, still_certain = first_match(new_rules, attributes)
+        if not (certain and still_certain):
             uncertain.append(decision.id)
         changed = changes(before, after)
         if changed:
-            found.append(
+            differing.append(
                 Difference(
                     decision.id,
                     decision.customer,
@@ -84,29 +85,36 @@
                     changed,
                 )
             )
-    return Comparison(count, tuple(found), tuple(uncertain))
+    return Comparison(count, tuple(differing), tuple(uncertain))
 
 
 def first_match(
-    compiled: rules.CompiledRules, facts: rules.Facts
+    compiled: rules.CompiledRules, attributes: rules.RequestAttributes
 ) -> tuple[configuration.Rule | None, bool]:
     """Returns the first rule that matches, and whether that is certain."""
-    sure = True
-    for candidate in compiled.of(facts.customer, facts.path):
-        if candidate.matches(facts):
-            return candidate.rule, sure
-        if lacks_header(candidate, facts):
-            sure = False
-    return None, sure
+    certain = True
+    for candidate in compiled.candidates(attributes.customer, attributes.path):
+        if candidate.matches(attributes):
+            return candidate.rule, certain
+        if depends_on_missing_header(candidate, attributes):
+            certain = False
+    return None, certain
 
 
-def lacks_header(candidate: rules.CompiledRule, facts: rules.Facts) -> bool:
-    """Returns whether only a header that was not kept could decide."""
+def depends_on_missing_header(
+    candidate: rules.CompiledRule, attributes: rules.RequestAttributes
+) -> bool:
+    """Returns whether a header that was not recorded decides the match.
+
+    That is so if all conditions of the rule on other values hold.
+    """
     for name in candidate.rule.when.header:
-        if name in facts.headers or name.startswith(rules.KEPT_HEADER_PREFIX):
+        if name in attributes.headers or name.startswith(
+            rules.RECORDED_HEADER_PREFIX
+        ):
             continue
         others = (
-            check(facts)
+            check(attributes)
             for label, check in candidate.checks
             if not label.startswith(rules.HEADER_LABEL)
         )
@@ -117,7 +125,7 @@
 def changes(
     before: configuration.Rule | None, after: configuration.Rule | None
 ) -> tuple[str, ...]:
-    """Returns the fields of the way that differ."""
+    """Returns the fields in which the actions of two rules differ."""
     if before is None and after is None:
         return ()
     if before is None or after is None:
--- a/lavenderbend/coordination/rules/rules.py
+++ b/lavenderbend/coordination/rules/rules.py
@@ -1,4 +1,4 @@
-"""The first rule that matches a request, the same on every router."""
+"""Matches requests against rules; every router finds the same rule."""
 
 from __future__ import annotations
 
@@ -19,34 +19,37 @@
     from lavenderbend.state import decisions
     from lavenderbend.state import requests
 
-    Check = Callable[['Facts'], bool]
+    Check = Callable[['RequestAttributes'], bool]
 
 SHARE_STEPS = 10_000
-# what a decision keeps of the headers, so that rules can be tried on it later
-KEPT_HEADER_PREFIX = 'x-'
-MAX_KEPT_HEADERS = 16
-MAX_KEPT_HEADER_CHARACTERS = 128
-# few revisions are alive at once: the one in force, and one being compared
-MAX_COMPILED = 4
-MAX_FOUND = 4096
-NONE: frozenset[int] = frozenset()
+# Headers that a decision records, so that rules can be tried on it later.
+RECORDED_HEADER_PREFIX = 'x-'
+MAX_RECORDED_HEADERS = 16
+MAX_RECORDED_HEADER_CHARACTERS = 128
+# Few revisions are used at the same time: the one in force, and one that is
+# compared with it.
+MAX_COMPILED_REVISIONS = 4
+MAX_CANDIDATE_LISTS = 4096
+NO_POSITIONS: frozenset[int] = frozenset()
 HEADER_LABEL = 'header '
 
 
 @attrs.frozen
-class Facts:
-    """What rules look at; taken from a request or a recorded decision.
+class RequestAttributes:
+    """Values that rules are matched against.
+
+    They are taken from a request or from a recorded decision.
 
     Attributes:
-        customer: The customer.
+        customer: Name of the customer.
         method: HTTP method in upper case.
         path: Path without the query.
-        headers: Names in lower case.
-        model: Model named in the body, empty if none.
-        adapter: Adapter named in the body, empty if none.
+        headers: Values by header name in lower case.
+        model: Model from the body, empty if there is none.
+        adapter: Adapter from the body, empty if there is none.
         availability_zone: Zone of the entry router.
         priority: Value of the header `x-priority`, empty if none.
-        chat: Hash of the chat, or of the request where there is none.
+        chat: Hash of the chat, or of the request if it has no chat.
     """
 
     customer: str
@@ -60,9 +63,9 @@
     chat: int = 0
 
 
-def facts_of(request: requests.Request) -> Facts:
-    """Returns what rules look at in a request."""
-    return Facts(
+def attributes_of_request(request: requests.Request) -> RequestAttributes:
+    """Returns the attributes of a request."""
+    return RequestAttributes(
         customer=request.customer,
         method=request.method.upper(),
         path=request.path.partition('?')[0],
@@ -75,21 +78,21 @@
     )
 
 
-def kept_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Returns the headers that a decision keeps, bounded in size."""
-    kept = [
+def recorded_headers(headers: Mapping[str, str]) -> dict[str, str]:
+    """Returns the headers that a decision records, bounded in size."""
+    recorded = [
         (name, value)
         for name, value in headers.items()
-        if name.startswith(KEPT_HEADER_PREFIX)
-        and len(name) + len(value) <= MAX_KEPT_HEADER_CHARACTERS
+        if name.startswith(RECORDED_HEADER_PREFIX)
+        and len(name) + len(value) <= MAX_RECORDED_HEADER_CHARACTERS
     ]
-    return dict(kept[:MAX_KEPT_HEADERS])
+    return dict(recorded[:MAX_RECORDED_HEADERS])
 
 
-def facts_of_decision(decision: decisions.Decision) -> Facts:
-    """Returns what rules look at, as far as the decision kept it."""
+def attributes_of_decision(decision: decisions.Decision) -> RequestAttributes:
+    """Returns the attributes of a decision, with recorded headers only."""
     chat = int(decision.chat, 16) if decision.chat else 0
-    return Facts(
+    return RequestAttributes(
         customer=decision.customer,
         method=decision.method.upper(),
         path=decision.path.partition('?')[0],
@@ -103,55 +106,58 @@
 
 
 def chat_hash(request: requests.Request) -> int:
-    """Returns the hash by which shares of chats are told apart.
+    """Returns the hash that decides whether a chat is within a share.
 
-    A request outside any chat counts as a chat of its own.
+    A request without a chat counts as a chat of its own.
     """
     return hashing.hash64(request.customer, request.chat_key or request.id)
 
 
 def text_check(texts: tuple[str, ...]) -> Callable[[str], bool]:
-    """Returns a check that one of the texts or prefixes fits."""
-    whole = frozenset(text for text in texts if not text.endswith('*'))
+    """Returns a check whether a value matches one of some patterns.
+
+    A pattern that ends with `*` matches by prefix, any other one exactly.
+    """
+    exact = frozenset(text for text in texts if not text.endswith('*'))
     prefixes = tuple(text[:-1] for text in texts if text.endswith('*'))
     if not prefixes:
-        return whole.__contains__
-    return lambda value: value in whole or value.startswith(prefixes)
+        return exact.__contains__
+    return lambda value: value in exact or value.startswith(prefixes)
 
 
 def attribute_check(name: str, texts: tuple[str, ...]) -> Check:
-    """Returns a check of one fact."""
-    fits = text_check(texts)
-    return lambda facts: fits(getattr(facts, name))
+    """Returns a check of one attribute."""
+    matches = text_check(texts)
+    return lambda attributes: matches(getattr(attributes, name))
 
 
 def header_check(name: str, text: str) -> Check:
-    """Returns a check of one header, which must be there."""
-    fits = text_check((text,))
+    """Returns a check of one header, which must be present."""
+    matches = text_check((text,))
 
-    def check(facts: Facts) -> bool:
-        value = facts.headers.get(name)
-        return value is not None and fits(value)
+    def check(attributes: RequestAttributes) -> bool:
+        value = attributes.headers.get(name)
+        return value is not None and matches(value)
 
     return check
 
 
 def share_check(rule: str, share: float) -> Check:
-    """Returns a check that takes the same share of chats everywhere.
+    """Returns a check that matches a percentage of the chats.
 
-    The name of the rule is part of the hash, so that two rules with a
-    share of 10 % take two different tenths.
+    Every router matches the same chats. The name of the rule is part of the
+    hash, so that two rules with a share of 10 % match different chats.
     """
     limit = round(share * SHARE_STEPS / 100)
 
-    def check(facts: Facts) -> bool:
-        value = hashing.hash64(rule, facts.chat.to_bytes(8, 'big'))
+    def check(attributes: RequestAttributes) -> bool:
+        value = hashing.hash64(rule, attributes.chat.to_bytes(8, 'big'))
         return value % SHARE_STEPS < limit
 
     return check
 
 
-TEXT_FACTS = (
+TEXT_ATTRIBUTES = (
     'customer',
     'method',
     'path',
@@ -164,33 +170,33 @@
 
 @attrs.frozen
 class CompiledRule:
-    """A rule with its checks, the cheap ones first.
+    """A rule with its checks, the fastest first.
 
     Attributes:
         rule: The rule.
-        checks: Name of the condition and its check; all must hold.
+        checks: Condition names with their checks; all must hold.
     """
 
     rule: configuration.Rule
     checks: tuple[tuple[str, Check], ...]
 
-    def matches(self, facts: Facts) -> bool:
+    def matches(self, attributes: RequestAttributes) -> bool:
         """Returns whether every condition holds."""
-        return all(check(facts) for _, check in self.checks)
+        return all(check(attributes) for _, check in self.checks)
 
-    def failed(self, facts: Facts) -> str:
+    def first_failed_condition(self, attributes: RequestAttributes) -> str:
         """Returns the first condition that does not hold, empty if none."""
         for name, check in self.checks:
-            if not check(facts):
+            if not check(attributes):
                 return name
         return ''
 
 
 def compile_rule(rule: configuration.Rule) -> CompiledRule:
-    """Returns the rule with its checks."""
+    """Compiles a rule."""
     when = rule.when
     checks: list[tuple[str, Check]] = []
-    for name in TEXT_FACTS:
+    for name in TEXT_ATTRIBUTES:
         texts = getattr(when, name)
         if texts:
             checks.append((name, attribute_check(name, texts)))
@@ -202,18 +208,21 @@
     return CompiledRule(rule, tuple(checks))
 
 
-def recompiled(
-    rule: configuration.Rule, known: Mapping[str, CompiledRule]
+def reuse_or_compile(
+    rule: configuration.Rule, earlier: Mapping[str, CompiledRule]
 ) -> CompiledRule:
-    """Returns a rule with its checks, those made before if it is the same."""
-    found = known.get(rule.name)
-    if found is not None and found.rule is rule:
-        return found
+    """Compiles a rule, or returns it from `earlier` if it is unchanged."""
+    compiled = earlier.get(rule.name)
+    if compiled is not None and compiled.rule is rule:
+        return compiled
     return compile_rule(rule)
 
 
 def customer_keys(texts: tuple[str, ...]) -> set[str]:
-    """Returns the customers that a condition names, none if it is open."""
+    """Returns the customers that a condition names.
+
+    Empty if it has a prefix, which may match any number of customers.
+    """
     if any(text.endswith('*') for text in texts):
         return set()
     return set(texts)
@@ -222,7 +231,8 @@
 def segment_keys(texts: tuple[str, ...]) -> set[str]:
     """Returns the first segments of the paths that a condition names.
 
-    None if it is open: a prefix that ends within the first segment fits many.
+    Empty if a prefix ends within the first segment, as it may match any
+    number of segments.
     """
     keys = set()
     for text in texts:
@@ -233,21 +243,22 @@
 
 
 def first_segment(path: str) -> str:
-    """Returns a path up to the slash behind its first segment."""
+    """Returns a path up to the slash after its first segment."""
     end = path.find('/', 1)
     return path if end < 0 else path[: end + 1]
 
 
-class Positions:
-    """Positions of rules by what one of their conditions names.
+class PositionIndex:
+    """PositionIndex of rules, by the values that one of their conditions names.
 
     Attributes:
-        open: Those of rules that fit any, or that the name does not tell.
-        named: The others, by each name.
+        unrestricted: Positions of rules whose condition is empty or may match
+            any number of values.
+        named: Positions of the other rules, by each value named.
     """
 
     def __init__(self) -> None:
-        self.open: set[int] = set()
+        self.unrestricted: set[int] = set()
         self.named: dict[str, set[int]] = {}
 
     def add(self, position: int, keys: Collection[str]) -> None:
@@ -255,33 +266,33 @@
 
         Args:
             position: Its position.
-            keys: What it names; none if it is open.
+            keys: Values that its condition names; empty if unrestricted.
         """
         if not keys:
-            self.open.add(position)
+            self.unrestricted.add(position)
         for key in keys:
             self.named.setdefault(key, set()).add(position)
 
-    def of(self, key: str) -> tuple[Set[int], Set[int]]:
-        """Returns the open positions and those under a name."""
-        return self.open, self.named.get(key, NONE)
+    def matching(self, key: str) -> tuple[Set[int], Set[int]]:
+        """Returns the unrestricted positions and those for a value."""
+        return self.unrestricted, self.named.get(key, NO_POSITIONS)
 
 
 class CompiledRules:
-    """The rules of one revision, in order.
+    """The compiled rules of one revision, in order.
 
-    Most rules of a large site name customers or paths, and most of them
-    others than those of a request: two indexes find the rules that are left,
-    so that a match costs as much as there are rules for the customer or the
-    path.
+    On a large site most rules name customers or paths, and most of these
+    differ from those of a request. Two indexes exclude such rules, so that
+    the cost of a match grows only with the number of rules for the customer
+    or the path of the request.
 
     Attributes:
         rules: All rules.
-        by_name: Those that were compiled last under each name.
+        by_name: The last rule of each name.
         customers: Positions of rules by the customers that they name.
         paths: Positions of rules by the first segments of their paths.
-        found: The rules that a request can meet, by its customer and first
-            segment, for those seen last.
+        candidate_lists: Cache of the rules that may match, by customer and
+            first segment.
     """
 
     def __init__(
@@ -293,61 +304,64 @@
 
         Args:
             rules: The rules.
-            earlier: Another revision, whose compiled rules serve again where
-                a rule is the same object.
+            earlier: Rules of another revision; a compiled rule is reused if
+                its rule is the same object.
         """
-        known = {} if earlier is None else earlier.by_name
-        self.rules = tuple(recompiled(rule, known) for rule in rules)
-        self.by_name = {one.rule.name: one for one in self.rules}
-        self.customers = Positions()
-        self.paths = Positions()
-        self.found: dict[tuple[str, str], tuple[CompiledRule, ...]] = {}
+        reusable = {} if earlier is None else earlier.by_name
+        self.rules = tuple(reuse_or_compile(rule, reusable) for rule in rules)
+        self.by_name = {compiled.rule.name: compiled for compiled in self.rules}
+        self.customers = PositionIndex()
+        self.paths = PositionIndex()
+        self.candidate_lists: dict[
+            tuple[str, str], tuple[CompiledRule, ...]
+        ] = {}
         for position, compiled in enumerate(self.rules):
             when = compiled.rule.when
             self.customers.add(position, customer_keys(when.customer))
             self.paths.add(position, segment_keys(when.path))
 
-    def of(self, customer: str, path: str) -> tuple[CompiledRule, ...]:
-        """Returns the rules that a customer's request to a path can meet."""
+    def candidates(self, customer: str, path: str) -> tuple[CompiledRule, ...]:
+        """Returns the rules that may match a customer's request to a path."""
         segment = first_segment(path)
         key = (
             customer if customer in self.customers.named else '',
             segment if segment in self.paths.named else '',
         )
-        found = self.found.get(key)
-        if found is not None:
-            return found
-        if len(self.found) >= MAX_FOUND:
-            self.found.clear()
+        candidates = self.candidate_lists.get(key)
+        if candidates is not None:
+            return candidates
+        if len(self.candidate_lists) >= MAX_CANDIDATE_LISTS:
+            self.candidate_lists.clear()
         fewer, others = sorted(
-            (self.customers.of(key[0]), self.paths.of(key[1])),
+            (self.customers.matching(key[0]), self.paths.matching(key[1])),
             key=lambda sets: sum(map(len, sets)),
         )
         positions = sorted(
             position
-            for some in fewer
-            for position in some
-            if any(position in one for one in others)
+            for bucket in fewer
+            for position in bucket
+            if any(position in other for other in others)
         )
-        found = tuple(self.rules[position] for position in positions)
-        self.found[key] = found
-        return found
+        candidates = tuple(self.rules[position] for position in positions)
+        self.candidate_lists[key] = candidates
+        return candidates
 
-    def find(self, facts: Facts) -> configuration.Rule | None:
+    def find(self, attributes: RequestAttributes) -> configuration.Rule | None:
         """Returns the first rule that matches."""
-        for compiled in self.of(facts.customer, facts.path):
-            if compiled.matches(facts):
+        for compiled in self.candidates(attributes.customer, attributes.path):
+            if compiled.matches(attributes):
                 return compiled.rule
         return None
 
 
 class RuleSet:
-    """Matches requests; compiles each revision's rules once.
+    """Matches requests; caches the compiled rules of recent revisions.
 
     Attributes:
         compiled: Rules by number and digest of their revision.
-        hits: How often each rule was the first match, by name.
-        unmatched: How many requests no rule matched.
+        hits: Number of requests for which a rule was the first match, by
+            name.
+        unmatched: Number of requests that no rule matched.
     """
 
     def __init__(self) -> None:
@@ -355,13 +369,13 @@
         self.hits: dict[str, int] = {}
         self.unmatched = 0
 
-    def rules(self, revision: configuration.Revision) -> CompiledRules:
+    def compiled_rules(self, revision: configuration.Revision) -> CompiledRules:
         """Returns the compiled rules of a revision."""
         key = (revision.number, revision.digest)
         compiled = self.compiled.get(key)
         if compiled is not None:
             return compiled
-        while len(self.compiled) >= MAX_COMPILED:
+        while len(self.compiled) >= MAX_COMPILED_REVISIONS:
             del self.compiled[next(iter(self.compiled))]
         compiled = CompiledRules(revision.document.rules)
         self.compiled[key] = compiled
@@ -370,8 +384,10 @@
     def match(
         self, revision: configuration.Revision, request: requests.Request
     ) -> configuration.Rule | None:
-        """Returns the first rule that matches a request, and counts it."""
-        rule = self.rules(revision).find(facts_of(request))
+        """Counts and returns the first rule that matches a request."""
+        rule = self.compiled_rules(revision).find(
+            attributes_of_request(request)
+        )
         if rule is None:
             self.unmatched += 1
             return None
--- a/lavenderbend/daemon/adapters.py
+++ b/lavenderbend/daemon/adapters.py
@@ -117,7 +117,7 @@
     return orders_module.OrderPolicy(
         interval=settings.interval_seconds,
         loads_at_once=settings.loads_at_once,
-        load_gap=settings.load_gap_seconds,
+        load_interval=settings.load_gap_seconds,
         unavailable=settings.unavailable / PERCENT,
         settle_seconds=settings.settle_seconds,
         bake_seconds=settings.bake_seconds,
--- a/lavenderbend/state/decisions.py
+++ b/lavenderbend/state/decisions.py
@@ -82,7 +82,7 @@
         idempotency_key: The caller's key, if any.
         adapter: Adapter named by the caller.
         availability_zone: Zone of the entry router.
-        headers: Headers that rules may look at, by `rules.kept_headers`.
+        headers: Headers that rules may look at, by `rules.recorded_headers`.
     """
 
     id: str
--- a/tests/test_coordination/test_agreed_orders.py
+++ b/tests/test_coordination/test_agreed_orders.py
@@ -283,7 +283,7 @@
 
 
 def test_roll_check_finds_too_few_serving():
-    policy = orders_module.OrderPolicy(load_gap=0.0, unavailable=1.0)
+    policy = orders_module.OrderPolicy(load_interval=0.0, unavailable=1.0)
     strict = attrs.evolve(policy, unavailable=0.25)
     trial = order_rolls.Trial(3000.0, 2, policy, True, 60.0)
     trial.allowed = strict
@@ -319,7 +319,7 @@
             None,
             random.Random(1),
         )
-        if controller.mine() == {'chat'}:
+        if controller.candidate_pools() == {'chat'}:
             candidates.append(name)
 
     assert candidates
--- a/tests/test_coordination/test_rules.py
+++ b/tests/test_coordination/test_rules.py
@@ -158,7 +158,7 @@
         current = revision(rule(f'r{number}'), number=number)
         assert rule_set.match(current, request()).name == f'r{number}'
 
-    assert len(rule_set.compiled) <= rules.MAX_COMPILED
+    assert len(rule_set.compiled) <= rules.MAX_COMPILED_REVISIONS
 
 
 TEXTS = st.sampled_from(['a', 'b', 'a*', 'ab', '*'])
@@ -302,18 +302,18 @@
             customer=asked.customer, chat=f'{rules.chat_hash(asked):016x}'
         )
         compiled = rules.CompiledRules(shared.document.rules)
-        facts = rules.facts_of_decision(recorded)
+        attributes = rules.attributes_of_decision(recorded)
 
-        assert rule_differences.first_match(compiled, facts)[0] is matched
+        assert rule_differences.first_match(compiled, attributes)[0] is matched
 
 
 def test_kept_headers_are_bounded():
     headers = {f'x-{n}': 'v' for n in range(100)}
     headers |= {'x-long': 'v' * 1000, 'cookie': 'secret'}
 
-    kept = rules.kept_headers(headers)
+    kept = rules.recorded_headers(headers)
 
-    assert len(kept) == rules.MAX_KEPT_HEADERS
+    assert len(kept) == rules.MAX_RECORDED_HEADERS
     assert 'cookie' not in kept
     assert 'x-long' not in kept
 
@@ -356,20 +356,20 @@
         configuration.Rule(f'r{n}', configuration.Then(pool='p'), when)
         for n, when in enumerate(whens)
     ]
-    facts = rules.facts_of(asked)
-    scanned = [r for r in items if rules.compile_rule(r).matches(facts)]
+    attributes = rules.attributes_of_request(asked)
+    scanned = [r for r in items if rules.compile_rule(r).matches(attributes)]
 
-    found = rules.CompiledRules(items).find(facts)
+    found = rules.CompiledRules(items).find(attributes)
 
     assert found == (scanned[0] if scanned else None)
 
 
 def test_customers_without_end_do_not_fill_the_memory():
     compiled = rules.CompiledRules([rule('r')])
-    for number in range(3 * rules.MAX_FOUND):
-        compiled.of(f'customer-{number}', f'/path-{number}/')
+    for number in range(3 * rules.MAX_CANDIDATE_LISTS):
+        compiled.candidates(f'customer-{number}', f'/path-{number}/')
 
-    assert len(compiled.found) <= rules.MAX_FOUND
+    assert len(compiled.candidate_lists) <= rules.MAX_CANDIDATE_LISTS
 
 
 def test_named_customers_and_paths_are_bounded_together():
@@ -379,8 +379,8 @@
     compiled = rules.CompiledRules(items)
     for customer in range(100):
         for path in range(100):
-            compiled.of(f'c{customer}', f'/p{path}/')
-            assert len(compiled.found) <= rules.MAX_FOUND
+            compiled.candidates(f'c{customer}', f'/p{path}/')
+            assert len(compiled.candidate_lists) <= rules.MAX_CANDIDATE_LISTS
 
 
 def test_rules_that_stay_are_not_compiled_again():
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -73,7 +73,7 @@
     assert one.orders.policy == orders.OrderPolicy(
         interval=3.0,
         loads_at_once=5,
-        load_gap=6.0,
+        load_interval=6.0,
         unavailable=0.5,
         settle_seconds=420.0,
         bake_seconds=8.0,
