--- a/lavenderbend/coordination/configuration/log.py
+++ b/lavenderbend/coordination/configuration/log.py
@@ -289,18 +289,18 @@
         """
         if number == self.chain.number:
             return self.chain.latest
-        known = await self.latest_snapshot(number) or records.NOTHING
-        while known.number < number:
-            page = await self.log.read_retained(known.number + 1)
-            if not page.entries or page.entries[0].number != known.number + 1:
+        past = await self.latest_snapshot(number) or records.NOTHING
+        while past.number < number:
+            page = await self.log.read_retained(past.number + 1)
+            if not page.entries or page.entries[0].number != past.number + 1:
                 raise errors.ConfigurationError(
                     f'revision {number} is not in the log'
                 )
             for entry in page.entries:
-                if known.number < number:
+                if past.number < number:
                     record = records.decode(entry.value)
-                    known = records.advance(known, record)
-        return known
+                    past = records.advance(past, record)
+        return past
 
     async def read(self, number: int) -> configuration.Revision:
         """Returns a past revision; see `read_at`."""
--- a/lavenderbend/coordination/rules/rules.py
+++ b/lavenderbend/coordination/rules/rules.py
@@ -249,7 +249,7 @@
 
 
 class PositionIndex:
-    """PositionIndex of rules, by the values that one of their conditions names.
+    """Positions of rules, by the values that one of their conditions names.
 
     Attributes:
         unrestricted: Positions of rules whose condition is empty or may match
--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -136,7 +136,7 @@
         """Ids of the engines."""
         return list(self.running)
 
-    def permit_ask(self, chat: int) -> interfaces.PermitRequest:
+    def permit_request(self, chat: int) -> interfaces.PermitRequest:
         """Returns the argument of `acquire` for a chat."""
         return interfaces.PermitRequest(
             request_id=f'request-{len(self.held)}',
@@ -154,7 +154,7 @@
         """Runs one request, if it is admitted."""
         entry = self.admissions[router]
         try:
-            permit = await entry.acquire(self.permit_ask(chat))
+            permit = await entry.acquire(self.permit_request(chat))
         except errors.RequestError:
             return
         index = self.record_permit(router, permit)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of coordination, shared with the bench."""
+"""A fleet of routers with admission on an in-memory network."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Routers with admission over one in-memory network."""
+    """Routers with admission that share one in-memory network."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         for name in self.names:
             view = View(self.names, self.vms, self.board)
             self.views[name] = view
-            one = admission.OwnerAdmission(
+            router = admission.OwnerAdmission(
                 name,
                 self.network.link(name),
                 view,
@@ -56,11 +56,13 @@
                 random.Random(name),
                 settings,
             )
-            self.admissions[name] = one
-            nursery.start_soon(one.run)
+            self.admissions[name] = router
+            nursery.start_soon(router.run)
 
-    def ask(self, number: int = 1, **changes) -> interfaces.PermitRequest:
-        """Returns an ask for a permit; `number` makes the chat."""
+    def permit_request(
+        self, number: int = 1, **changes
+    ) -> interfaces.PermitRequest:
+        """Returns a request for a permit; each `number` is another chat."""
         values = {
             'request_id': f'request-{number}',
             'pool': self.pool.name,
@@ -77,23 +79,23 @@
 
     def owner(self) -> str:
         """Returns the owner of the pool's only group."""
-        one = self.admissions[self.names[0]]
-        one.refresh_owners()
-        return one.owner_of(one.directory.groups()[0])
+        router = self.admissions[self.names[0]]
+        router.refresh_owners()
+        return router.owner_of(router.directory.groups()[0])
 
     def loads(self) -> dict[str, int]:
-        """Returns the permits in use, by upstream, over all routers."""
+        """Returns the number of permits in use at all routers, by upstream."""
         loads = {vm.id: 0 for vm in self.vms}
-        for one in self.admissions.values():
-            for held in one.held.values():
-                loads[held.upstream] += 1
+        for router in self.admissions.values():
+            for permit in router.held.values():
+                loads[permit.upstream] += 1
         return loads
 
     def report(self, loads: dict[str, int], at: float | None = None) -> None:
-        """Lets reports with those loads arrive now."""
-        when = trio.current_time() if at is None else at
+        """Publishes load reports that were taken at `at`, now by default."""
+        taken_at = trio.current_time() if at is None else at
         for upstream, load in loads.items():
             report = upstreams.LoadReport(
                 upstream, 'one', load, 0, models=('chat-1',)
             )
-            self.board.put(report, when)
+            self.board.put(report, taken_at)
--- a/tests/test_coordination/agreed_fakes.py
+++ b/tests/test_coordination/agreed_fakes.py
@@ -1,4 +1,4 @@
-"""Routers in one process: links and membership in memory."""
+"""In-memory links and membership for several routers in one process."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Network:
-    """Connects links; routers can be cut off or gone."""
+    """Connects links; routers can be down or cut off from each other."""
 
     def __init__(self, seed: int = 1, latency: float = 0.001) -> None:
         self.rng = random.Random(seed)
@@ -22,16 +22,16 @@
         self.links: dict[str, Link] = {}
         self.down: set[str] = set()
         self.cut: set[frozenset[str]] = set()
-        self.lost = 0.0
+        self.loss_fraction = 0.0
         self.messages = 0
         self.bytes_by_router: dict[str, int] = {}
 
     def reachable(self, first: str, second: str) -> bool:
-        gone = first in self.down or second in self.down
-        return not gone and frozenset((first, second)) not in self.cut
+        down = first in self.down or second in self.down
+        return not down and frozenset((first, second)) not in self.cut
 
-    def carry(self, sender: str, receiver: str, item: peer.Message):
-        data = peer.encode(item)
+    def transfer(self, sender: str, receiver: str, message: peer.Message):
+        data = peer.encode(message)
         self.messages += 1
         for name in (sender, receiver):
             size = self.bytes_by_router.get(name, 0) + len(data)
@@ -40,65 +40,67 @@
 
 
 class Link(interfaces.PeerLink):
-    """A peer link over a `Network`, on trio's clock."""
+    """A peer link over a `Network`, whose delays are on trio's clock."""
 
     def __init__(self, name: str, network: Network) -> None:
         super().__init__(name)
         self.network = network
         network.links[name] = self
-        self.queue: list[tuple[str, peer.Message]] = []
-        self.queued = trio.Event()
+        self.notices: list[tuple[str, peer.Message]] = []
+        self.notices_queued = trio.Event()
 
     def set_peers(self, addresses) -> None:
-        """Not needed: the network knows every link."""
+        """Does nothing: the network has every link."""
 
-    async def request(self, peer_id, item, timeout):
+    async def request(self, peer_id, message, timeout):
         if peer_id == self.name:
-            return await self.handlers[type(item)](self.name, item)
+            return await self.handlers[type(message)](self.name, message)
         network = self.network
         try:
             with trio.fail_after(timeout):
-                await self.travel(peer_id)
-                sent = network.carry(self.name, peer_id, item)
+                await self.transmit(peer_id)
+                received = network.transfer(self.name, peer_id, message)
                 other = network.links[peer_id]
-                answer = await self.answer_of(other, sent)
-                await self.travel(peer_id)
-                return network.carry(peer_id, self.name, answer)
+                reply = await self.call_handler(other, received)
+                await self.transmit(peer_id)
+                return network.transfer(peer_id, self.name, reply)
         except trio.TooSlowError as exc:
             raise errors.PeerUnreachable(peer_id) from exc
 
-    async def answer_of(self, other, item):
+    async def call_handler(self, other, message):
         try:
-            return await other.handlers[type(item)](self.name, item)
+            return await other.handlers[type(message)](self.name, message)
         except errors.RequestError as exc:
             raise errors.PeerRefused(type(exc).__name__, exc) from exc
 
-    async def travel(self, peer_id):
+    async def transmit(self, peer_id):
         network = self.network
         await trio.sleep(network.latency)
-        lost = network.rng.random() < network.lost
+        lost = network.rng.random() < network.loss_fraction
         if lost or not network.reachable(self.name, peer_id):
             await trio.sleep_forever()
 
-    def notify(self, peer_id, item):
-        self.queue.append((peer_id, item))
-        self.queued.set()
+    def notify(self, peer_id, message):
+        self.notices.append((peer_id, message))
+        self.notices_queued.set()
 
     async def run(self):
         while True:
-            await self.queued.wait()
-            self.queued = trio.Event()
-            queue, self.queue = self.queue, []
+            await self.notices_queued.wait()
+            self.notices_queued = trio.Event()
+            notices, self.notices = self.notices, []
             await trio.sleep(self.network.latency)
-            for peer_id, item in queue:
+            for peer_id, message in notices:
                 if self.network.reachable(self.name, peer_id):
-                    sent = self.network.carry(self.name, peer_id, item)
+                    received = self.network.transfer(
+                        self.name, peer_id, message
+                    )
                     other = self.network.links[peer_id]
-                    await other.handlers[type(item)](self.name, sent)
+                    await other.handlers[type(message)](self.name, received)
 
 
 class Membership(interfaces.Membership):
-    """A list that tests change."""
+    """A fixed membership that tests can change."""
 
     def __init__(self, routers, upstreams=()) -> None:
         self.names = list(routers)
@@ -126,22 +128,22 @@
         await self.changed.wait()
 
 
-def start_parts(nursery, *parts) -> trio.CancelScope:
-    """Starts the parts of a router; the scope that is returned ends them."""
+def start_tasks(nursery, *services) -> trio.CancelScope:
+    """Runs the given services of a router; the returned scope stops them."""
     scope = trio.CancelScope()
 
     async def run():
         with scope:
             async with trio.open_nursery() as inner:
-                for part in parts:
-                    inner.start_soon(part.run)
+                for service in services:
+                    inner.start_soon(service.run)
 
     nursery.start_soon(run)
     return scope
 
 
 def service(seed: int = 1, **faults) -> key_value.MemoryStore:
-    """Returns a store with 1 to 2 ms one way."""
+    """Returns a store with a one-way latency of 1 to 2 ms."""
     values = {'latency': 0.001, 'jitter': 0.001, **faults}
     return key_value.MemoryStore(
         random.Random(seed), key_value.Faults(**values)
--- a/tests/test_coordination/test_admission_faults.py
+++ b/tests/test_coordination/test_admission_faults.py
@@ -16,7 +16,9 @@
     names = [name for name in fleet.names if name not in fleet.network.dead]
     for number in range(start, start + count):
         name = names[number % len(names)]
-        permit = await fleet.admissions[name].acquire(fleet.ask(number))
+        permit = await fleet.admissions[name].acquire(
+            fleet.permit_request(number)
+        )
         permits.append((name, permit))
     return permits
 
@@ -56,7 +58,7 @@
     before = {}
     for number in range(1, 41):
         entry = fleet.admissions[fleet.names[number % 4]]
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         before[number] = permit.upstream.id
         entry.release(permit, 'complete')
     await trio.sleep(3)
@@ -65,7 +67,7 @@
     entry = fleet.admissions[fleet.owner()]
     same = 0
     for number in range(1, 41):
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         same += permit.upstream.id == before[number]
         entry.release(permit, 'complete')
 
@@ -88,7 +90,7 @@
     before = {}
     for number in range(1, 41):
         entry = fleet.admissions[entries[number % len(entries)]]
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         before[number] = permit.upstream.id
         entry.release(permit, 'complete')
     await trio.sleep(3)
@@ -100,7 +102,7 @@
     entry = fleet.admissions[standby]
     same = 0
     for number in range(1, 41):
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         same += permit.upstream.id == before[number]
         entry.release(permit, 'complete')
 
@@ -113,7 +115,7 @@
     fleet = fakes.Fleet(nursery, routers=3, engines=2)
     owner = fleet.owner()
     entry = next(name for name in fleet.names if name != owner)
-    permit = await fleet.admissions[entry].acquire(fleet.ask(1))
+    permit = await fleet.admissions[entry].acquire(fleet.permit_request(1))
     fleet.network.cut(owner, entry)
     fleet.admissions[entry].release(permit, 'complete')
     await trio.sleep(0.5)
@@ -161,7 +163,7 @@
     async def acquire(number):
         entry = fleet.admissions[fleet.names[number % 6]]
         with trio.move_on_after(4):
-            await entry.acquire(fleet.ask(number))
+            await entry.acquire(fleet.permit_request(number))
             loads = fleet.loads()
             allowed = placement.allowed_load(
                 fleet.pool, sum(loads.values()) - 1, 4
@@ -190,7 +192,9 @@
     used = []
 
     async def acquire(number):
-        permit = await fleet.admissions[entry].acquire(fleet.ask(number))
+        permit = await fleet.admissions[entry].acquire(
+            fleet.permit_request(number)
+        )
         used.append(permit.upstream.id)
 
     async with trio.open_nursery() as requests:
@@ -218,7 +222,7 @@
     async def acquire(number):
         entry = fleet.admissions[rest[number % 3]]
         with trio.move_on_after(3):
-            granted.append(await entry.acquire(fleet.ask(number)))
+            granted.append(await entry.acquire(fleet.permit_request(number)))
 
     async def report():
         await trio.sleep(1)
@@ -243,11 +247,13 @@
     fleet = fakes.Fleet(nursery, routers=4, engines=1, pool=pool)
     lost = fleet.owner()
     rest = [name for name in fleet.names if name != lost]
-    first = await fleet.admissions[rest[0]].acquire(fleet.ask(1))
+    first = await fleet.admissions[rest[0]].acquire(fleet.permit_request(1))
     done = []
 
     async def acquire():
-        permit = await fleet.admissions[rest[1]].acquire(fleet.ask(2))
+        permit = await fleet.admissions[rest[1]].acquire(
+            fleet.permit_request(2)
+        )
         done.append((trio.current_time(), permit))
 
     nursery.start_soon(acquire)
@@ -272,7 +278,7 @@
 
     async def occupy(number):
         permit = await entry.acquire(
-            fleet.ask(number, deadline=trio.current_time() + 600)
+            fleet.permit_request(number, deadline=trio.current_time() + 600)
         )
         await trio.sleep(2)
         entry.release(permit, 'complete')
@@ -283,7 +289,7 @@
     started = trio.current_time()
 
     with pytest.raises(errors.PoolFull) as caught:
-        await entry.acquire(fleet.ask(99, deadline=started + 20))
+        await entry.acquire(fleet.permit_request(99, deadline=started + 20))
 
     assert trio.current_time() - started < 0.5
     assert caught.value.retry_after > 20
@@ -299,9 +305,11 @@
 
     async def surge(number):
         deadline = trio.current_time() + 600
-        ask = fleet.ask(number, customer='city', deadline=deadline)
+        permit_request = fleet.permit_request(
+            number, customer='city', deadline=deadline
+        )
         try:
-            permit = await entry.acquire(ask)
+            permit = await entry.acquire(permit_request)
         except errors.PoolFull:
             refused.append(number)
             return
@@ -314,7 +322,7 @@
     started = trio.current_time()
 
     await fleet.admissions['router-1'].acquire(
-        fleet.ask(1000, customer='court')
+        fleet.permit_request(1000, customer='court')
     )
 
     assert trio.current_time() - started <= 1.1
@@ -329,7 +337,7 @@
     entry = fleet.admissions['router-0']
 
     async def hold(number):
-        await entry.acquire(fleet.ask(number))
+        await entry.acquire(fleet.permit_request(number))
 
     for number in range(40):
         nursery.start_soon(hold, number)
@@ -337,7 +345,7 @@
     started = trio.current_time()
 
     await fleet.admissions['router-1'].acquire(
-        fleet.ask(99, priority=fakes.requests.Priority.INSTANT)
+        fleet.permit_request(99, priority=fakes.requests.Priority.INSTANT)
     )
 
     assert trio.current_time() - started < 0.01
@@ -350,7 +358,7 @@
     entry = fleet.admissions['router-0']
     before = {}
     for number in range(30):
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         before[number] = permit.upstream.id
         entry.release(permit, 'complete')
     joined = [*fleet.vms, fakes.engine_vm('engine-9')]
@@ -358,7 +366,7 @@
         view.set_upstreams(joined)
 
     for number in range(30):
-        permit = await entry.acquire(fleet.ask(number))
+        permit = await entry.acquire(fleet.permit_request(number))
         assert permit.upstream.id == before[number]
         entry.release(permit, 'complete')
 
@@ -371,7 +379,7 @@
     await trio.sleep(1)
     for number in range(120):
         name = fleet.names[number % 5]
-        await fleet.admissions[name].acquire(fleet.ask(number))
+        await fleet.admissions[name].acquire(fleet.permit_request(number))
         await trio.sleep(0.05)
     await trio.sleep(1)
 
@@ -396,7 +404,7 @@
     fleet.views[owner].set_routers([owner, kept])
     await trio.sleep(0.1)
     for number, name in enumerate(dropped):
-        await fleet.admissions[name].acquire(fleet.ask(100 + number))
+        await fleet.admissions[name].acquire(fleet.permit_request(100 + number))
     await trio.sleep(0.1)
 
     groups_ = fleet.admissions[owner].owner.owned.values()
--- a/tests/test_coordination/test_admission_reports.py
+++ b/tests/test_coordination/test_admission_reports.py
@@ -51,7 +51,7 @@
 
     async def acquire(number: int) -> None:
         entry = fleet.admissions[fleet.names[number % 3]]
-        granted.append(await entry.acquire(fleet.ask(number)))
+        granted.append(await entry.acquire(fleet.permit_request(number)))
 
     with trio.move_on_after(0.5):
         async with trio.open_nursery() as requests:
--- a/tests/test_coordination/test_admission_start.py
+++ b/tests/test_coordination/test_admission_start.py
@@ -47,11 +47,11 @@
     for number in range(20):
         peer = fleet.admissions[fleet.names[number % 3]]
         with trio.move_on_after(0.5):
-            await peer.acquire(fleet.ask(number))
+            await peer.acquire(fleet.permit_request(number))
         view.wake()
     await trio.sleep(10)
     late.arrived.set()
     await trio.sleep(5)
 
-    permit = await entry.acquire(fleet.ask(99))
+    permit = await entry.acquire(fleet.permit_request(99))
     assert permit.upstream in fleet.vms
--- a/tests/test_coordination/test_admission_views.py
+++ b/tests/test_coordination/test_admission_views.py
@@ -189,7 +189,9 @@
     async def acquire(number):
         entry = fleet.admissions[fleet.names[number % 4]]
         with trio.move_on_after(ACQUIRE_SECONDS):
-            await entry.acquire(fleet.ask(number, avoid=tuple(others)))
+            await entry.acquire(
+                fleet.permit_request(number, avoid=tuple(others))
+            )
 
     async with trio.open_nursery() as requests:
         for number in range(20):
@@ -245,7 +247,7 @@
     await trio.sleep(1)
     fleet.names = rest
     entry = fleet.admissions[fleet.owner()]
-    entry.release(await entry.acquire(fleet.ask(1)), 'complete')
+    entry.release(await entry.acquire(fleet.permit_request(1)), 'complete')
     await trio.sleep(0.1)
     (group,) = entry.owner.owned.values()
     group.loads.rates.service_seconds = service
--- a/tests/test_coordination/test_agreed_bounds.py
+++ b/tests/test_coordination/test_agreed_bounds.py
@@ -86,7 +86,7 @@
 class LastWriterWins(configuration_log.ConfigurationLog):
     """Accepts a document whatever revision it is based on."""
 
-    async def accept(self, document, seen, author, reason):
+    async def accept(self, document, base_number, author, reason):
         await self.catch_up()
         return await super().accept(document, self.chain.number, author, reason)
 
@@ -99,8 +99,8 @@
 class UncheckedChain(configuration_chain.Chain):
     """Applies every complete revision that it gets."""
 
-    def install_snapshot(self, known):
-        self.step(known)
+    def install_snapshot(self, snapshot):
+        self.install(snapshot)
         return True
 
 
@@ -112,15 +112,15 @@
         self.chain = UncheckedChain()
         self.log.chain = self.chain
 
-    def note_peer_revision(self, router, item):
-        super().note_peer_revision(router, item)
-        if item.number < self.chain.number:
+    def note_peer_revision(self, router, message):
+        super().note_peer_revision(router, message)
+        if message.number < self.chain.number:
             self.fetch_from = router
-            self.wake.set()
+            self.fetch_needed.set()
 
-    async def on_entries_request(self, router, ask):
+    async def on_entries_request(self, router, request):
         return await super().on_entries_request(
-            router, attrs.evolve(ask, after=-1)
+            router, attrs.evolve(request, after=-1)
         )
 
 
--- a/tests/test_coordination/test_agreed_claims.py
+++ b/tests/test_coordination/test_agreed_claims.py
@@ -41,7 +41,7 @@
         )
         self.routers[name] = router
         self.network.down.discard(name)
-        self.scopes[name] = fakes.start_parts(self.nursery, link, router)
+        self.scopes[name] = fakes.start_tasks(self.nursery, link, router)
 
     def kill(self, name, noticed=True):
         self.scopes[name].cancel()
--- a/tests/test_coordination/test_agreed_configuration.py
+++ b/tests/test_coordination/test_agreed_configuration.py
@@ -22,7 +22,7 @@
 
 
 class Fleet:
-    """Followers on one network and one service."""
+    """Followers on one network with one key-value service."""
 
     def __init__(self, store, nursery, count=7, **options):
         self.store = store
@@ -42,10 +42,10 @@
             name, self.store, link, self.membership, rng, **options
         )
         self.followers[name] = follower
-        self.scopes[name] = fakes.start_parts(self.nursery, link, follower)
+        self.scopes[name] = fakes.start_tasks(self.nursery, link, follower)
         return follower
 
-    async def all_beyond(self, number, seconds):
+    async def wait_all_beyond(self, number, seconds):
         with trio.fail_after(seconds):
             for follower in self.followers.values():
                 await follower.wait_beyond(number)
@@ -58,7 +58,7 @@
     await trio.sleep(1)
     first = fleet.followers['r0']
     revision = await first.accept(fakes.document('a'), 0, 'ana', 'start')
-    await fleet.all_beyond(0, 1.0)
+    await fleet.wait_all_beyond(0, 1.0)
     digests = {f.current().digest for f in fleet.followers.values()}
     assert digests == {revision.digest}
     assert await first.wait_in_force(1, 2.0) == ()
@@ -67,30 +67,30 @@
 async def test_service_down_just_after_acceptance(
     store, nursery, autojump_clock
 ):
-    """The service dies as the acceptor gets its answer.
+    """The service fails right after it has confirmed the accepted change.
 
-    No watch tells the others; without comparing between peers they would
-    serve the old revision for the length of the outage.
+    No watch reports the change then. Without comparing revisions between
+    peers, the other routers would serve the old one during the outage.
     """
     fleet = Fleet(store, nursery)
     await trio.sleep(1)
     original = store.create
 
-    async def create_and_die(*args, **kwargs):
-        done = await original(*args, **kwargs)
+    async def create_then_fail(*args, **kwargs):
+        created = await original(*args, **kwargs)
         if args[0].endswith('1'):
             store.fault(outage=True)
-        return done
+        return created
 
-    store.create = create_and_die
+    store.create = create_then_fail
     await fleet.followers['r0'].accept(fakes.document('a'), 0, 'ana', '')
-    await fleet.all_beyond(0, 3.0)
+    await fleet.wait_all_beyond(0, 3.0)
 
 
 async def test_new_router_starts_from_a_peer_while_the_service_is_down(
     store, nursery, autojump_clock
 ):
-    """A VM is replaced during an outage; it must not stay without rules."""
+    """A VM replaced during an outage must get the rules from a peer."""
     fleet = Fleet(store, nursery, count=3)
     await trio.sleep(1)
     for number in range(300):
@@ -98,7 +98,7 @@
         await fleet.followers['r0'].accept(
             fakes.document(*rules), number, 'ana', ''
         )
-    await fleet.all_beyond(299, 2.0)
+    await fleet.wait_all_beyond(299, 2.0)
     store.fault(outage=True)
     fleet.scopes['r2'].cancel()
     restarted = fleet.start('r2')
@@ -110,27 +110,27 @@
 
 async def test_loser_of_a_race_gets_the_difference(store, autojump_clock):
     """Two operators edit revision 1; the second must not undo the first."""
-    one = configuration_log.ConfigurationLog(store)
-    two = configuration_log.ConfigurationLog(store)
-    await one.accept(fakes.document('a'), 0, 'ana', 'start')
-    await one.accept(fakes.document('a', 'b'), 1, 'ana', 'add b')
-    with pytest.raises(errors.ConfigurationConflict) as caught:
-        await two.accept(fakes.document('a', 'c'), 1, 'bo', 'add c')
-    assert (caught.value.seen, caught.value.newest) == (1, 2)
-    assert caught.value.difference == ('rules: b added',)
-    lines = await two.history()
-    assert [(line.author, line.reason) for line in lines] == [
+    first = configuration_log.ConfigurationLog(store)
+    second = configuration_log.ConfigurationLog(store)
+    await first.accept(fakes.document('a'), 0, 'ana', 'start')
+    await first.accept(fakes.document('a', 'b'), 1, 'ana', 'add b')
+    with pytest.raises(errors.ConfigurationConflict) as raised:
+        await second.accept(fakes.document('a', 'c'), 1, 'bo', 'add c')
+    assert (raised.value.seen, raised.value.newest) == (1, 2)
+    assert raised.value.difference == ('rules: b added',)
+    entries = await second.history()
+    assert [(entry.author, entry.reason) for entry in entries] == [
         ('ana', 'start'),
         ('ana', 'add b'),
     ]
-    assert (await two.read(1)).document == fakes.document('a')
+    assert (await second.read(1)).document == fakes.document('a')
 
 
 async def test_lost_answer_of_an_acceptance_is_settled(store, autojump_clock):
-    """The create takes effect and its answer is lost.
+    """The create takes effect and its reply is lost.
 
-    Told 'conflict' or 'failed', the operator would apply it again and find
-    a revision that nobody seems to have made.
+    Reported as a conflict or a failure, the operator would apply the change
+    again and find a revision of unknown origin.
     """
     log = configuration_log.ConfigurationLog(store)
     store.fault(lost_answers=0.3, lost_requests=0.1, late_writes=0.5)
@@ -145,20 +145,20 @@
         number = revision.number
     assert number > 30
     store.fault(lost_answers=0.0, lost_requests=0.0)
-    lines = await configuration_log.ConfigurationLog(store).history()
-    assert [line.number for line in lines] == list(range(1, number + 1))
+    entries = await configuration_log.ConfigurationLog(store).history()
+    assert [entry.number for entry in entries] == list(range(1, number + 1))
 
 
 async def test_outage_during_acceptance_is_uncertain(store, autojump_clock):
     log = configuration_log.ConfigurationLog(store)
     original = store.create
 
-    async def create_and_die(*args, **kwargs):
+    async def create_then_fail(*args, **kwargs):
         await original(*args, **kwargs)
         store.fault(outage=True)
         raise errors.KeyValueUncertain('no answer')
 
-    store.create = create_and_die
+    store.create = create_then_fail
     with pytest.raises(errors.KeyValueUncertain):
         await log.accept(fakes.document('a'), 0, 'ana', '')
     store.fault(outage=False)
@@ -191,40 +191,40 @@
         await log.accept(
             fakes.document(f'rule {number}'), number, 'ana', f'{number}'
         )
-    fresh = configuration_log.ConfigurationLog(store)
-    lines = await fresh.history(5000)
-    assert fresh.chain.latest.document == log.chain.latest.document
-    assert 150 <= len(lines) < 400
-    assert (await fresh.read(1000)).document == fakes.document('rule 999')
+    reader = configuration_log.ConfigurationLog(store)
+    entries = await reader.history(5000)
+    assert reader.chain.latest.document == log.chain.latest.document
+    assert 150 <= len(entries) < 400
+    assert (await reader.read(1000)).document == fakes.document('rule 999')
     with pytest.raises(errors.ConfigurationError):
-        await fresh.read(3)
+        await reader.read(3)
 
 
 @pytest.mark.parametrize('policy', list(settings.CutOffPolicy))
 async def test_router_cut_off_says_so(store, nursery, autojump_clock, policy):
     """A router loses the service and every peer for a minute.
 
-    Unnoticed, it would serve rules that were replaced long ago.
+    If this is not detected, it serves rules that may have been replaced.
     """
     fleet = Fleet(store, nursery, count=2, policy=policy)
     await fleet.followers['r0'].accept(fakes.document('a'), 0, 'ana', '')
-    await fleet.all_beyond(0, 2.0)
+    await fleet.wait_all_beyond(0, 2.0)
     store.fault(outage=True)
     await trio.sleep(60)
-    cut = fleet.followers['r1']
-    assert cut.stale_since is None  # the peer still confirms
+    cut_off = fleet.followers['r1']
+    assert cut_off.stale_since is None  # r0 still replies
     fleet.network.down.add('r0')
     await trio.sleep(60)
-    assert cut.stale_since is not None
+    assert cut_off.stale_since is not None
     if policy is settings.CutOffPolicy.REFUSE:
         with pytest.raises(errors.ConfigurationStale):
-            cut.current()
+            cut_off.current()
     else:
-        assert cut.current().number == 1
+        assert cut_off.current().number == 1
     store.fault(outage=False)
     await trio.sleep(20)
-    assert cut.stale_since is None
-    assert cut.current().number == 1
+    assert cut_off.stale_since is None
+    assert cut_off.current().number == 1
 
 
 async def test_missing_router_is_named(store, nursery, autojump_clock):
@@ -239,11 +239,11 @@
 async def test_watch_lost_and_compacted_leaves_no_gap(
     store, nursery, autojump_clock
 ):
-    """The service drops the watch and forgets past changes meanwhile."""
+    """The service drops the watch and compacts changes in the meantime."""
     fleet = Fleet(store, nursery, count=1)
     await fleet.followers['r0'].accept(fakes.document('a'), 0, 'ana', '')
     operator = configuration_log.ConfigurationLog(store)
-    seen = []
+    numbers_in_force = []
     for number in range(1, 30):
         if number % 5 == 0:
             store.fault(outage=True)
@@ -252,9 +252,9 @@
         await operator.accept(fakes.document(f'r {number}'), number, 'b', '')
         if number % 5 == 0:
             store.compact_events()
-        seen.append(fleet.followers['r0'].current().number)
-    await fleet.all_beyond(29, 10.0)
-    assert seen == sorted(seen)
+        numbers_in_force.append(fleet.followers['r0'].current().number)
+    await fleet.wait_all_beyond(29, 10.0)
+    assert numbers_in_force == sorted(numbers_in_force)
 
 
 def test_delta_of_one_item_is_small():
--- a/tests/test_coordination/test_agreed_log_interleavings.py
+++ b/tests/test_coordination/test_agreed_log_interleavings.py
@@ -1,4 +1,4 @@
-"""Every interleaving of a few writers of the log, faults at every step."""
+"""Explores all interleavings of a few writers of the log, with faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lavenderbend.state import key_values
 
 PREFIX = 'l/'
-# what may happen to one call to the service
+# Possible outcomes of one call to the service.
 DONE = 'done'
 LOST_ANSWER = 'lost answer'
 LOST_REQUEST = 'lost request'
@@ -21,8 +21,8 @@
 CRASH = 'crash'
 
 
-class Memory:
-    """The service's keys, with the calls of the log as plain functions."""
+class MemoryStore:
+    """The keys of the service; the calls of the log are plain functions."""
 
     def __init__(self, items):
         self.items = dict(items)
@@ -36,10 +36,10 @@
         return True
 
     def read(self, key):
-        found = []
+        matching = []
         if key in self.items:
-            found = [key_values.KeyValue(key, self.items[key], 1, 1)]
-        return interfaces.ReadResult(1, tuple(found))
+            matching = [key_values.KeyValue(key, self.items[key], 1, 1)]
+        return interfaces.ReadResult(1, tuple(matching))
 
     def delete(self, key, end):
         for name in [n for n in self.items if key <= n < end]:
@@ -49,15 +49,15 @@
 
 @types.coroutine
 def step(call):
-    """Hands a call to the scheduler and gets back what it answers."""
-    answer = yield call
-    if isinstance(answer, Exception):
-        raise answer
-    return answer
+    """Passes a call to the scheduler; returns or raises its reply."""
+    reply = yield call
+    if isinstance(reply, Exception):
+        raise reply
+    return reply
 
 
 class SteppedStore:
-    """Hands each call to the scheduler instead of carrying it out."""
+    """Passes each call to the scheduler instead of executing it."""
 
     async def create(self, key, value, lease=0, present=None, absent=None):
         return await step(('create', key, value, present, absent))
@@ -69,12 +69,12 @@
         return await step(('delete', key, end))
 
 
-async def writer(journal, name, number):
-    """Appends one value, going on behind whatever others wrote."""
+async def writer(subject_log, name, number):
+    """Appends one value, after an entry that another writer has created."""
     value = name.encode()
     for _ in range(2):
         try:
-            entry = await journal.append(number, value)
+            entry = await subject_log.append(number, value)
         except errors.KeyValueUncertain:
             return ('uncertain', value)
         except errors.KeyValueUnavailable:
@@ -84,35 +84,35 @@
         if entry.value == value:
             return ('appended', number, value)
         number += 1
-    return ('beaten', value)
+    return ('superseded', value)
 
 
-async def compactor(journal, before):
+async def compactor(subject_log, before):
     try:
-        await journal.compact(before)
+        await subject_log.compact(before)
     except errors.KeyValueError:
         pass
     return ('compacted', b'')
 
 
 class Explorer:
-    """Replays one list of choices at a time, depth first.
+    """Explores the lists of choices depth first.
 
-    A choice is which writer goes on, or a late write that arrives, and what
-    happens to the call. Coroutines cannot be copied, so each path is played
-    from its beginning; a state that was reached before by another order is
-    not explored again.
+    A choice is which writer continues and the outcome of its call, or which
+    delayed write takes effect. Coroutines cannot be copied, so each path is
+    run from the start. A state that another path has reached is not explored
+    again.
     """
 
-    def __init__(self, make, journal, start, faults):
-        self.make = make
-        self.journal = journal
+    def __init__(self, make_tasks, subject_log, start, faults):
+        self.make_tasks = make_tasks
+        self.subject_log = subject_log
         self.start = start
         self.faults = faults
         self.states = set()
 
     def explore(self, check):
-        """Plays every path and checks each end."""
+        """Runs every path and checks each final state."""
         stack = [()]
         while stack:
             path = stack.pop()
@@ -120,10 +120,10 @@
             stack += [(*path, option) for option in options]
 
     def play(self, path, check):
-        """Plays a path; returns what may come next, none at an end."""
+        """Runs a path; returns the next choices, none in a final state."""
         run = Run(self)
         for choice in path:
-            run.take(choice)
+            run.apply(choice)
         state = run.state()
         if state in self.states:
             return []
@@ -135,94 +135,94 @@
 
 
 class Run:
-    """One path as it is played."""
+    """One run along a path."""
 
     def __init__(self, explorer):
-        self.memory = Memory(explorer.start)
+        self.memory = MemoryStore(explorer.start)
         self.faults_left = explorer.faults
         self.late = []
         self.results = {}
         self.calls = {}
-        self.heard = collections.defaultdict(list)
-        self.tasks = dict(enumerate(explorer.make(explorer.journal)))
-        # every entry that ever stood, so that deletions do not hide one
-        self.stood = dict(explorer.start)
+        self.replies = collections.defaultdict(list)
+        self.tasks = dict(enumerate(explorer.make_tasks(explorer.subject_log)))
+        # All entries ever written, including deleted ones.
+        self.written = dict(explorer.start)
         for name in list(self.tasks):
             self.resume(name, None)
 
     def state(self):
-        """What decides the future: a task's is all that it has heard."""
+        """All that later steps depend on; for a task, the replies it got."""
         return (
             frozenset(self.memory.items.items()),
-            frozenset(self.stood.items()),
+            frozenset(self.written.items()),
             tuple(sorted(map(repr, self.late))),
-            tuple(tuple(self.heard[name]) for name in sorted(self.tasks)),
+            tuple(tuple(self.replies[name]) for name in sorted(self.tasks)),
             self.faults_left,
         )
 
-    def resume(self, name, answer):
-        self.heard[name].append(repr(answer))
+    def resume(self, name, reply):
+        self.replies[name].append(repr(reply))
         try:
-            self.calls[name] = self.tasks[name].send(answer)
+            self.calls[name] = self.tasks[name].send(reply)
         except StopIteration as stop:
             self.results[name] = stop.value
             self.calls.pop(name, None)
 
     def options(self):
-        found = [('late', index) for index in range(len(self.late))]
+        options = [('late', index) for index in range(len(self.late))]
         for name, call in self.calls.items():
             kinds = [DONE]
             if self.faults_left and call[0] == 'create':
                 kinds += [LOST_ANSWER, LOST_REQUEST, LATE, CRASH]
-            found += [(name, kind) for kind in kinds]
-        return found
+            options += [(name, kind) for kind in kinds]
+        return options
 
-    def take(self, choice):
+    def apply(self, choice):
         if choice[0] == 'late':
-            self.carry_out(self.late.pop(choice[1]))
+            self.execute(self.late.pop(choice[1]))
             return
         name, kind = choice
         call = self.calls[name]
         if kind == DONE:
-            self.resume(name, self.carry_out(call))
+            self.resume(name, self.execute(call))
             return
         self.faults_left -= 1
         if kind in (LOST_ANSWER, CRASH):
-            self.carry_out(call)
+            self.execute(call)
         if kind == LATE:
             self.late.append(call)
         if kind == CRASH:
             self.tasks[name].close()
-            self.heard[name].append(CRASH)
+            self.replies[name].append(CRASH)
             self.calls.pop(name)
             return
         self.resume(name, errors.KeyValueUncertain('lost'))
 
-    def carry_out(self, call):
-        answer = getattr(self.memory, call[0])(*call[1:])
+    def execute(self, call):
+        reply = getattr(self.memory, call[0])(*call[1:])
         for key, value in self.memory.items.items():
             if key.startswith(PREFIX + 'entry/'):
-                first = self.stood.setdefault(key, value)
-                # an entry's place is never given to another value
+                first = self.written.setdefault(key, value)
+                # a number is never reused for another value
                 assert first == value, f'{key}: {first} and then {value}'
-        return answer
+        return reply
 
 
-def check_end(run):
-    """Whoever was told so is in the log, and exactly once."""
-    places = {}
-    for key, value in run.stood.items():
+def check_final_state(run):
+    """Checks that each confirmed value is in the log exactly once."""
+    keys_by_value = {}
+    for key, value in run.written.items():
         if key.startswith(PREFIX + 'entry/'):
-            assert value not in places, f'{value} stands twice'
-            places[value] = key
+            assert value not in keys_by_value, f'{value} was written twice'
+            keys_by_value[value] = key
     for result in run.results.values():
         if result[0] == 'appended':
             key = f'{PREFIX}entry/{result[1]:016d}'
-            assert run.stood.get(key) == result[2]
-        if result[0] in ('unavailable', 'beaten'):
-            assert result[1] not in places
-    kept = [k for k in run.memory.items if k.startswith(PREFIX + 'entry/')]
-    numbers = sorted(int(key[-16:]) for key in kept)
+            assert run.written.get(key) == result[2]
+        if result[0] in ('unavailable', 'superseded'):
+            assert result[1] not in keys_by_value
+    remaining = [k for k in run.memory.items if k.startswith(PREFIX + 'entry/')]
+    numbers = sorted(int(key[-16:]) for key in remaining)
     assert numbers == list(range(numbers[0], numbers[0] + len(numbers)))
 
 
@@ -233,28 +233,28 @@
     }
 
 
-def explore(make, start, faults, journal_class=log.Log):
-    journal = journal_class(SteppedStore(), PREFIX)
-    explorer = Explorer(make, journal, start, faults)
-    explorer.explore(check_end)
+def explore(make_tasks, start, faults, log_class=log.Log):
+    subject_log = log_class(SteppedStore(), PREFIX)
+    explorer = Explorer(make_tasks, subject_log, start, faults)
+    explorer.explore(check_final_state)
     return len(explorer.states)
 
 
-def two_writers(journal):
-    return [writer(journal, 'a', 1), writer(journal, 'b', 1)]
+def two_writers(subject_log):
+    return [writer(subject_log, 'a', 1), writer(subject_log, 'b', 1)]
 
 
-def three_writers(journal):
-    return [writer(journal, name, 1) for name in 'abc']
+def three_writers(subject_log):
+    return [writer(subject_log, name, 1) for name in 'abc']
 
 
-def paused_writers_and_a_compactor(journal):
-    """Writers that last saw the log at 0, 1, 2 and 3 entries."""
+def paused_writers_and_a_compactor(subject_log):
+    """Writers that last read the log at 0, 1 and 3 entries."""
     return [
-        writer(journal, 'a', 1),
-        writer(journal, 'b', 2),
-        writer(journal, 'c', 4),
-        compactor(journal, 3),
+        writer(subject_log, 'a', 1),
+        writer(subject_log, 'b', 2),
+        writer(subject_log, 'c', 4),
+        compactor(subject_log, 3),
     ]
 
 
@@ -267,34 +267,34 @@
 
 
 def test_paused_writers_meet_a_compacted_log():
-    """Writers paused since the log was short wake up beside a compaction.
+    """Writers that were paused since the log was short resume at a compaction.
 
-    A number that was compacted looks absent: written again, its claim
-    would be answered 'claimed' a second time.
+    The key of a compacted number is absent. If it were written again, its
+    claim would be confirmed a second time.
     """
     start = entries('x', 'y', 'z')
     assert explore(paused_writers_and_a_compactor, start, faults=1) > 1000
 
 
 class UnguardedLog(log.Log):
-    """A log without the guard that the entry before must be there."""
+    """A log without the condition that the previous entry exists."""
 
     async def create(self, number, value):
         return await self.store.create(self.key(number), value)
 
 
-def test_exploration_finds_the_missing_guard():
+def test_exploration_finds_the_missing_condition():
     with pytest.raises(AssertionError, match='and then'):
         explore(
             paused_writers_and_a_compactor,
             entries('x', 'y', 'z'),
             faults=0,
-            journal_class=UnguardedLog,
+            log_class=UnguardedLog,
         )
 
 
-class HastyLog(log.Log):
-    """A log that takes a lost answer for a refusal."""
+class UncertainAsUnavailableLog(log.Log):
+    """A log that treats a lost reply as a failed write."""
 
     async def append(self, number, value):
         try:
@@ -303,6 +303,6 @@
             raise errors.KeyValueUnavailable(str(exc)) from exc
 
 
-def test_exploration_finds_a_write_taken_for_refused():
+def test_exploration_finds_a_lost_reply_treated_as_failure():
     with pytest.raises(AssertionError):
-        explore(two_writers, {}, faults=4, journal_class=HastyLog)
+        explore(two_writers, {}, faults=4, log_class=UncertainAsUnavailableLog)
--- a/tests/test_coordination/test_agreed_marks.py
+++ b/tests/test_coordination/test_agreed_marks.py
@@ -1,4 +1,4 @@
-"""Marks of what was read, while the reading is still in progress."""
+"""Read positions while a read of the log is still in progress."""
 
 from __future__ import annotations
 
@@ -28,36 +28,36 @@
     return claims.ClaimLine(key, token, digest, 'r0')
 
 
-class HeldAnswers:
-    """A store whose answers to one kind of call wait, once told to.
+class HeldReplies:
+    """A store that can hold back the replies to one kind of call.
 
     Attributes:
-        store: The store.
-        kind: The kind, None for none.
-        held: Set when an answer waits.
-        go: Lets the answers go.
+        store: The store that executes the calls.
+        kind: Kind of call whose replies are held back, or None.
+        reply_held: Set when a reply is held back.
+        release: Releases the replies when set.
     """
 
     def __init__(self, store):
         self.store = store
         self.kind = None
-        self.held = trio.Event()
-        self.go = trio.Event()
+        self.reply_held = trio.Event()
+        self.release = trio.Event()
 
     def __getattr__(self, name):
         return getattr(self.store, name)
 
     async def read(self, *args):
-        return await self.answer('read', await self.store.read(*args))
+        return await self.hold_reply('read', await self.store.read(*args))
 
     async def create(self, *args, **guards):
         done = await self.store.create(*args, **guards)
-        return await self.answer('create', done)
+        return await self.hold_reply('create', done)
 
-    async def answer(self, kind, value):
+    async def hold_reply(self, kind, value):
         if self.kind == kind:
-            self.held.set()
-            await self.go.wait()
+            self.reply_held.set()
+            await self.release.wait()
         return value
 
 
@@ -76,51 +76,59 @@
 async def test_claim_that_finds_its_key_in_use_has_the_log_read_after_it(
     nursery, autojump_clock, kind
 ):
-    # A citizen's reply was claimed and given up; another router wrote that
-    # down. The text is changed and sent under the same key. Its claim comes
-    # while a call of the shard is on its way, carried out before the release:
-    # it asks for a reading of the log, and was answered from the table of
-    # before as the call ended. The caller was told that the key was in use.
+    # A claim is released by another router, and the caller claims the same key
+    # again with another body. Guards against an answer "key in use" when the
+    # claim arrives while a call of the shard is in transit that was executed
+    # before the release: the claim requests a read of the log, and must not
+    # be answered from the table that is older than this request.
     store = fakes.service()
-    held = HeldAnswers(store)
-    one, two = make_shard(held, 'one'), make_shard(store, 'two')
-    nursery.start_soon(one.run)
-    nursery.start_soon(two.run)
+    held_store = HeldReplies(store)
+    first_shard, second_shard = (
+        make_shard(held_store, 'one'),
+        make_shard(store, 'two'),
+    )
+    nursery.start_soon(first_shard.run)
+    nursery.start_soon(second_shard.run)
     deadline = trio.current_time() + 30.0
-    first = claim_line(KEY, 1)
-    assert await one.claim(first, deadline) is claims.ClaimState.CLAIMED
+    first_claim = claim_line(KEY, 1)
+    assert (
+        await first_shard.claim(first_claim, deadline)
+        is claims.ClaimState.CLAIMED
+    )
 
-    held.kind = kind
+    held_store.kind = kind
     if kind == 'read':
-        one.request_reading()
+        first_shard.request_reading()
     else:
-        nursery.start_soon(one.claim, claim_line(OTHER_KEY, 3), deadline)
-    await held.held.wait()
-    held.kind = None
+        nursery.start_soon(
+            first_shard.claim, claim_line(OTHER_KEY, 3), deadline
+        )
+    await held_store.reply_held.wait()
+    held_store.kind = None
     not_run = errors.Outcome.NOT_RUN
-    release = claims.OutcomeLine(KEY, first.token, not_run, None)
-    two.request_reading()
-    assert await two.record((release,), deadline)
+    release = claims.OutcomeLine(KEY, first_claim.token, not_run, None)
+    second_shard.request_reading()
+    assert await second_shard.record((release,), deadline)
     states = []
 
     async def claim_again():
-        states.append(await one.claim(claim_line(KEY, 2), deadline))
+        states.append(await first_shard.claim(claim_line(KEY, 2), deadline))
 
     async with trio.open_nursery() as claiming:
         claiming.start_soon(claim_again)
         await trio.sleep(0.01)
         assert not states
-        held.go.set()
+        held_store.release.set()
     assert states == [claims.ClaimState.CLAIMED]
 
 
 async def test_reading_that_broke_off_leaves_no_gap_for_a_watch(
     monkeypatch, autojump_clock
 ):
-    # A router that was away reads now and then what was accepted, here in
-    # two pages, and the service goes down before the second. Then it begins
-    # to watch. The store revision of the first page was noted as read up to;
-    # it is newer than the changes of the second, which no watch showed.
+    # A router catches up with the log in two pages, and the service fails
+    # before the second. Guards against taking the store revision of the first
+    # page as the position up to which the log was read: it is newer than the
+    # changes of the second page, so that the next watch would not report them.
     store = fakes.service()
     author = configuration_log.ConfigurationLog(store)
     follower = configuration_follower.ConfigurationFollower(
--- a/tests/test_coordination/test_agreed_orders.py
+++ b/tests/test_coordination/test_agreed_orders.py
@@ -67,14 +67,14 @@
     assert steps == (orders.Step('e1', NEW),)
 
 
-def test_frozen_model_is_left_alone():
+def test_frozen_model_gets_no_orders():
     states = {'e0': (OLD, True), 'e1': (NEW, False)}
     wanted = (orders.Wanted(NEW, 2, frozen=True),)
     assert orders.plan(wanted, situation(states)) == ()
 
 
 class Pool:
-    """One pool of engines and routers that may order them."""
+    """One pool of engines, and routers that may send orders to them."""
 
     def __init__(self, nursery, checks, policy, engines=1):
         self.nursery = nursery
@@ -100,7 +100,7 @@
         self.configurations = order_rolls.Configurations()
         self.faults = engines_module.OrderFaults(0.0, 0.0)
 
-    def want(self, version, number, replicas=1):
+    def configure(self, version, number, replicas=1):
         document = configuration.Configuration(
             pools=(
                 configuration.Pool('p', 'pool', checks_fencing=self.checks),
@@ -129,17 +129,19 @@
         return controller
 
 
-class PausedLater(engines_module.PausableOrderer):
-    """A router paused after the check of its lease in its second order.
+class PausedInSecondOrder(engines_module.PausableOrderer):
+    """Pauses a router after the lease check of its second order.
 
     Attributes:
+        pause_seconds: Duration of the pause.
+        pause_at_stop: Number of the call of `stop` at which it is paused.
         checked: Set when it is paused.
-        resumed: When it goes on.
+        stops: Number of calls of `stop`.
     """
 
-    resumed = 110.0
-    # each order has two places for a pause; the second follows the check
-    place = 4
+    pause_seconds = 110.0
+    # Each order calls `stop` twice; the second call follows the check.
+    pause_at_stop = 4
 
     def __init__(self, *args):
         super().__init__(*args)
@@ -148,47 +150,49 @@
 
     async def stop(self):
         self.stops += 1
-        if self.stops == self.place:
+        if self.stops == self.pause_at_stop:
             self.checked.set()
-            self.pause.until = trio.current_time() + self.resumed
+            self.pause.until = trio.current_time() + self.pause_seconds
         await super().stop()
 
 
-class PausedAfterCheck(PausedLater):
-    """Paused in its first order, as no order shows the fencing number."""
+class PausedInFirstOrder(PausedInSecondOrder):
+    """Pauses in the first order, as no order announces a fencing number."""
 
-    place = 2
+    pause_at_stop = 2
 
 
 async def paused_holder(
     nursery, checks, policy, read_seconds=60.0, engine_checks=None
 ):
-    """Plays the story; returns what the engine carried out.
+    """Runs two controllers; returns the orders that the engine executed.
 
-    The holder looks at its clock, is paused for minutes, and sends its
-    order for version 2 when another has held the lease for long and has
-    brought the engine to version 3.
+    The first holder checks its lease, is paused for minutes, and then sends
+    its order for version 2. Meanwhile the other controller has acquired the
+    lease and ordered version 3 from the engine.
     """
     pool = Pool(nursery, checks, policy)
     pool.engines['pool-0'].read_seconds = read_seconds
     if engine_checks is not None:
         pool.engines['pool-0'].checks = engine_checks
-    pool.want('2', 1)
-    first = pool.start('a', PausedLater if checks else PausedAfterCheck)
+    pool.configure('2', 1)
+    first = pool.start(
+        'a', PausedInSecondOrder if checks else PausedInFirstOrder
+    )
     await first.orderer.checked.wait()
-    pool.want('3', 2)
+    pool.configure('3', 2)
     pool.start('b')
     await trio.sleep(300)
     engine = pool.engines['pool-0']
     return [
-        (item.order.target.version, item.order.fencing)
-        for item in engine.carried
-        if item.changed
+        (execution.order.target.version, execution.order.fencing)
+        for execution in engine.carried
+        if execution.changed
     ]
 
 
-class Hasty(orders_module.OrderPolicy):
-    """Does not wait after a takeover."""
+class NoTakeoverWait(orders_module.OrderPolicy):
+    """Does not wait after acquiring the lease."""
 
     takeover_wait = 0.0
 
@@ -196,79 +200,81 @@
 async def test_engine_that_checks_refuses_a_holder_paused_after_its_check(
     nursery, autojump_clock
 ):
-    """The engine refuses the order that comes after its sender's pause."""
-    carried = await paused_holder(
+    """The engine refuses the order that its sender sends after a pause."""
+    executed = await paused_holder(
         nursery, True, orders_module.OrderPolicy(), read_seconds=1e9
     )
-    assert [version for version, _ in carried] == ['3']
+    assert [version for version, _ in executed] == ['3']
 
 
-async def test_engine_wrongly_said_to_check_carries_out_the_old_order(
+async def test_engine_wrongly_configured_to_check_executes_the_old_order(
     nursery, autojump_clock
 ):
-    """Shows that the test above would see a stale order."""
-    carried = await paused_holder(
+    """Verifies that the test above would detect a stale order."""
+    executed = await paused_holder(
         nursery,
         True,
         orders_module.OrderPolicy(),
         read_seconds=1e9,
         engine_checks=False,
     )
-    assert [version for version, _ in carried][:2] == ['3', '2']
+    assert [version for version, _ in executed][:2] == ['3', '2']
 
 
-async def test_engine_that_ignores_numbers_drops_a_body_that_comes_late(
+async def test_engine_that_ignores_fencing_drops_a_late_body(
     nursery, autojump_clock
 ):
-    """The engine has dropped the request when its sender goes on."""
-    carried = await paused_holder(nursery, False, orders_module.OrderPolicy())
-    assert [version for version, _ in carried] == ['3']
+    """The engine has dropped the request when its sender resumes."""
+    executed = await paused_holder(nursery, False, orders_module.OrderPolicy())
+    assert [version for version, _ in executed] == ['3']
 
 
-async def test_next_holder_waits_as_long_as_the_engine_might(
+async def test_next_holder_waits_as_long_as_the_engine_may_read(
     nursery, autojump_clock
 ):
-    """An engine that reads slowly takes the old order, but before the new.
+    """An engine with a long read timeout executes the old order first.
 
-    The next holder orders only after that, so its order is the last.
+    The next holder sends orders only after that, so its order is the last.
     """
     policy = orders_module.OrderPolicy(engine_read_seconds=150.0)
-    carried = await paused_holder(nursery, False, policy, read_seconds=150.0)
-    assert [version for version, _ in carried] == ['2', '3']
+    executed = await paused_holder(nursery, False, policy, read_seconds=150.0)
+    assert [version for version, _ in executed] == ['2', '3']
 
 
 async def test_without_the_wait_the_old_order_undoes_the_new_one(
     nursery, autojump_clock
 ):
-    """Shows that the tests above would see a stale order."""
-    carried = await paused_holder(nursery, False, Hasty(), read_seconds=150.0)
-    versions = [version for version, _ in carried]
+    """Verifies that the tests above would detect a stale order."""
+    executed = await paused_holder(
+        nursery, False, NoTakeoverWait(), read_seconds=150.0
+    )
+    versions = [version for version, _ in executed]
     assert versions[:2] == ['3', '2']
 
 
 async def test_bad_version_stops_the_roll_and_goes_back(
     nursery, autojump_clock
 ):
-    """Version 2 cannot be served; at most two engines may meet it."""
+    """Version 2 cannot be served; at most two engines may try it."""
     policy = orders_module.OrderPolicy(bake_seconds=5.0)
     pool = Pool(nursery, True, policy, engines=8)
-    pool.want('1', 1, 8)
+    pool.configure('1', 1, 8)
     pool.start('a')
     await trio.sleep(60)
     for engine in pool.engines.values():
         engine.bad = {'2'}
-    pool.want('2', 2, 8)
+    pool.configure('2', 2, 8)
     await trio.sleep(300)
-    met = [
+    tried = [
         engine.id
         for engine in pool.engines.values()
-        if any(item.order.target == NEW for item in engine.carried)
+        if any(e.order.target == NEW for e in engine.carried)
     ]
-    assert 1 <= len(met) <= 2
+    assert 1 <= len(tried) <= 2
     targets = {engine.target for engine in pool.engines.values()}
     assert targets == {OLD}
     assert all(engine.healthy for engine in pool.engines.values())
-    pool.want('3', 3, 8)
+    pool.configure('3', 3, 8)
     await trio.sleep(300)
     versions = {e.target.version for e in pool.engines.values()}
     assert versions == {'3'}
@@ -278,8 +284,8 @@
     result = order_rolls.run(2500.0, seed=3)
     assert result.orders > 10
     assert min(result.kills, result.pauses) > 0
-    over = [m for m in measures.of_order_rolls(result) if not m.holds]
-    assert not over
+    exceeded = [m for m in measures.of_order_rolls(result) if not m.holds]
+    assert not exceeded
 
 
 def test_roll_check_finds_too_few_serving():
@@ -294,16 +300,15 @@
 
 
 class RegionMembership(fakes.Membership):
-    """Routers of two regions, as one of the second sees them."""
+    """Routers of two regions, as a router of the second sees them."""
 
     def region_routers(self):
         return tuple(name for name in self.names if name.startswith('north'))
 
 
 def test_each_region_has_its_own_controller():
-    # an operator asks for a new version, and the engines of one region
-    # never get it: the one controller of the pool stood in another region,
-    # whose routers do not see those engines
+    # Guards against one controller per pool for all regions: its router does
+    # not see the engines of other regions, so they never get a new version.
     names = [f'south-{n}' for n in range(20)] + ['north-0', 'north-1']
     document = configuration.Configuration(
         pools=(configuration.Pool('chat', 'model'),),
@@ -328,10 +333,10 @@
 async def test_failure_noted_during_a_save_reaches_the_next_controller(
     monkeypatch, autojump_clock
 ):
-    # A controller writes that a target is good. While it reads back what it
-    # wrote, an order of a bad version fails, and the write of that is
-    # refused. The read then showed what the first write said, and all was
-    # taken for saved: the next controller tried the bad version again.
+    # An order of a bad version fails while a save reads back what it wrote,
+    # and the write of this failure is refused. Guards against counting the
+    # failure as saved because the first write succeeded: the next controller
+    # would try the bad version again.
     store = fakes.service(jitter=0.0)
     memory = order_memory.OrderMemory(store, '/memory')
 
@@ -341,7 +346,7 @@
     memory.note_good(OLD)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(memory.save)
-        # the write has ended, the read back is on its way
+        # The write has ended, and the read back is in transit.
         await trio.sleep(0.003)
         assert store.calls['read'] == store.calls['create'] == 1
         memory.note_failure(NEW)
--- a/tests/test_coordination/test_agreed_sockets.py
+++ b/tests/test_coordination/test_agreed_sockets.py
@@ -60,7 +60,7 @@
 
 
 async def test_claims_over_the_gateway(store, memory, nursery):
-    """Lost answers over HTTP are settled like those in memory."""
+    """Claims stay correct when replies of the HTTP gateway are lost."""
     network = fakes.Network(latency=0.0)
     router = claims_module.Claims(
         'a',
@@ -73,23 +73,23 @@
     memory.fault(lost_answers=0.3, give_up=0.01)
     deadline = trio.current_time() + 60
     for number in range(30):
-        got = await router.claim('c', f'k{number}', b'b', deadline)
-        assert isinstance(got, claims.Claimed)
-        await router.record(got.token, errors.Outcome.COMPLETE, 200)
+        state = await router.claim('c', f'k{number}', b'b', deadline)
+        assert isinstance(state, claims.Claimed)
+        await router.record(state.token, errors.Outcome.COMPLETE, 200)
     await router.drain()
     memory.fault(lost_answers=0.0)
     for number in range(30):
-        got = await router.claim('c', f'k{number}', b'b', deadline)
-        assert got == claims.Recorded(errors.Outcome.COMPLETE, 200)
+        state = await router.claim('c', f'k{number}', b'b', deadline)
+        assert state == claims.Recorded(errors.Outcome.COMPLETE, 200)
 
 
 async def test_large_configuration_over_the_gateway(store):
-    """A snapshot of many items passes the gateway whole."""
+    """A configuration with many rules passes the gateway unchanged."""
     log = configuration_log.ConfigurationLog(store)
     document = fakes.document(*[f'rule {n}' for n in range(3000)])
     await log.accept(document, 0, 'ana', 'start')
-    fresh = configuration_log.ConfigurationLog(store)
-    assert (await fresh.read(1)).document == document
+    reader = configuration_log.ConfigurationLog(store)
+    assert (await reader.read(1)).document == document
 
 
 @pytest.mark.parametrize('checks', [True, False])
@@ -122,27 +122,27 @@
         policy=policy,
     )
     nursery.start_soon(controller.run)
-    wanted = orders.Target('m', '2', ('a',))
+    target = orders.Target('m', '2', ('a',))
     for _ in range(600):
         state = await orderer.read(vm, 1.0)
-        if state.target == wanted:
+        if state.target == target:
             break
         await trio.sleep(0.05)
-    assert state.target == wanted
+    assert state.target == target
     assert engine.orders.fencing > 0
 
 
-async def test_engine_refuses_an_old_number(orderer, nursery):
+async def test_engine_refuses_an_old_fencing_number(orderer, nursery):
     _, vm = await start_engine(nursery, True)
     target = orders.Target('m', '1')
     await orderer.send(vm, orders.EngineOrder(7, target), 5.0, lambda: None)
-    with pytest.raises(errors.OrderRefused) as caught:
+    with pytest.raises(errors.OrderRefused) as raised:
         await orderer.send(vm, orders.EngineOrder(6, target), 5.0, lambda: None)
-    assert caught.value.highest == 7
+    assert raised.value.highest == 7
 
 
-async def test_order_whose_lease_is_over_does_not_leave(orderer, nursery):
-    """The check comes after the head and before the body."""
+async def test_order_is_not_sent_after_its_lease_expired(orderer, nursery):
+    """The lease is checked after the headers and before the body is sent."""
     engine, vm = await start_engine(nursery, False)
 
     def lost():
@@ -155,7 +155,7 @@
     assert (await orderer.read(vm, 5.0)).target.version != '2'
 
 
-async def test_engine_that_is_gone_is_unreachable(orderer):
+async def test_stopped_engine_is_unreachable(orderer):
     sock = trio.socket.socket()
     await sock.bind((HOST, 0))
     port = sock.getsockname()[1]
--- a/tests/test_coordination/test_agreed_stateful.py
+++ b/tests/test_coordination/test_agreed_stateful.py
@@ -264,7 +264,7 @@
         )
         self.followers[name] = follower
         self.newest[name] = 0
-        self.scopes[name] = fakes.start_parts(self.nursery, link, follower)
+        self.scopes[name] = fakes.start_tasks(self.nursery, link, follower)
 
     def check_chains(self):
         for name, follower in self.followers.items():
--- a/tests/test_coordination/test_explain.py
+++ b/tests/test_coordination/test_explain.py
@@ -18,7 +18,7 @@
     return operator_fakes.FakeMembership()
 
 
-def ask(membership, text=TEXT, **fields):
+def explain_request(membership, text=TEXT, **fields):
     values = {
         'id': 'r1',
         'customer': 'clinica',
@@ -40,35 +40,35 @@
 
 
 async def test_rules_are_named_up_to_the_first_match(membership):
-    found = ask(membership)
+    explanation = explain_request(membership)
 
-    assert found.revision == 3
-    steps = [(step.rule, step.failed) for step in found.steps]
+    assert explanation.revision == 3
+    steps = [(step.rule, step.failed) for step in explanation.steps]
     assert steps == [('alerts', 'method'), ('chats', '')]
-    assert found.rule == 'chats'
+    assert explanation.rule == 'chats'
 
 
 async def test_no_rule(membership):
-    found = ask(membership, path='/other')
+    explanation = explain_request(membership, path='/other')
 
-    assert found.verdict == explain.NO_RULE
-    assert found.then is None
-    assert not found.candidates
+    assert explanation.verdict == explain.NO_RULE
+    assert explanation.then is None
+    assert not explanation.candidates
 
 
 async def test_rejected(membership):
     text = TEXT.replace('then: {pool: assistant}', 'then: {reject: closed}')
 
-    found = ask(membership, text)
+    explanation = explain_request(membership, text)
 
-    assert found.verdict == explain.REJECTED
-    assert found.then.reject == 'closed'
+    assert explanation.verdict == explain.REJECTED
+    assert explanation.then.reject == 'closed'
 
 
 async def test_candidates_have_loads_and_reasons(membership, autojump_clock):
-    found = ask(membership)
+    explanation = explain_request(membership)
 
-    by_id = {c.upstream: c for c in found.candidates}
+    by_id = {c.upstream: c for c in explanation.candidates}
     assert by_id['engine-1'].verdict.startswith(explain.TAKEN)
     assert by_id['engine-2'].verdict == 'over bound'
     assert by_id['engine-3'].verdict == 'leaving in the VM list'
@@ -80,29 +80,29 @@
         'then: {pool: assistant}', 'then: {pool: assistant, model: other}'
     )
 
-    found = ask(membership, text)
+    explanation = explain_request(membership, text)
 
-    verdicts = {c.verdict for c in found.candidates if c.load is not None}
+    verdicts = {c.verdict for c in explanation.candidates if c.load is not None}
     assert verdicts == {explain.WRONG_MODEL}
-    assert found.verdict == explain.NO_UPSTREAM
+    assert explanation.verdict == explain.NO_UPSTREAM
 
 
-async def test_a_full_pool_would_make_it_wait(membership):
+async def test_request_to_a_full_pool_would_wait(membership):
     membership.loads = {'engine-1': 10, 'engine-2': 10}
 
-    found = ask(membership)
+    explanation = explain_request(membership)
 
-    assert found.verdict == explain.ALL_PASSED_OVER
-    verdicts = [c.verdict for c in found.candidates if c.load is not None]
+    assert explanation.verdict == explain.ALL_PASSED_OVER
+    verdicts = [c.verdict for c in explanation.candidates if c.load is not None]
     assert verdicts == ['at max load', 'at max load']
 
 
 async def test_a_pool_without_upstreams(membership):
     membership.loads = {}
 
-    found = ask(membership)
+    explanation = explain_request(membership)
 
-    assert found.verdict == explain.NO_UPSTREAM
+    assert explanation.verdict == explain.NO_UPSTREAM
 
 
 async def test_explaining_changes_nothing(membership):
--- a/tests/test_coordination/test_placement_cache_transfer.py
+++ b/tests/test_coordination/test_placement_cache_transfer.py
@@ -82,8 +82,8 @@
     settings = cache_transfer.TransferSettings(bytes_per_second=12.5e9)
     for number in range(1, 31):
         entry = fleet.admissions[fleet.names[number % 2]]
-        ask = fleet.ask(number, prompt_tokens=5000)
-        entry.release(await entry.acquire(ask), 'complete')
+        permit_request = fleet.permit_request(number, prompt_tokens=5000)
+        entry.release(await entry.acquire(permit_request), 'complete')
     group = next(iter(owner.owner.owned.values()))
     group.context_mover.settings = settings
     await trio.sleep(1)
--- a/tests/test_coordination/test_rules.py
+++ b/tests/test_coordination/test_rules.py
@@ -67,19 +67,19 @@
     ],
 )
 def test_first_match_of_the_example(fields, expected):
-    found = rules.RuleSet().match(load('correo'), request(**fields))
+    matched = rules.RuleSet().match(load('correo'), request(**fields))
 
-    assert (found.name if found else None) == expected
+    assert (matched.name if matched else None) == expected
 
 
-def test_order_decides():
+def test_first_matching_rule_is_chosen():
     first = rule('first', path=('/v1/*',))
     second = rule('second')
 
-    one = rules.RuleSet().match(revision(first, second), request())
-    other = rules.RuleSet().match(revision(second, first), request())
+    first_match = rules.RuleSet().match(revision(first, second), request())
+    second_match = rules.RuleSet().match(revision(second, first), request())
 
-    assert (one.name, other.name) == ('first', 'second')
+    assert (first_match.name, second_match.name) == ('first', 'second')
 
 
 @pytest.mark.parametrize(
@@ -101,18 +101,18 @@
     ],
 )
 def test_conditions(when, matches):
-    asked = request(
+    tested_request = request(
         headers={'x-a': '1', 'x-priority': 'high'}, availability_zone='sala-a'
     )
 
-    found = rules.RuleSet().match(revision(rule('r', **when)), asked)
+    matched = rules.RuleSet().match(revision(rule('r', **when)), tested_request)
 
-    assert (found is not None) == matches
+    assert (matched is not None) == matches
 
 
-def test_share_takes_whole_chats_near_its_size():
+def test_share_matches_entire_chats_close_to_its_percentage():
     shared = revision(rule('tenth', share=10.0), rule('rest'))
-    taken = set()
+    matched_chats = set()
     for chat in range(4000):
         names = {
             rules.RuleSet()
@@ -122,20 +122,20 @@
         }
         assert len(names) == 1
         if 'tenth' in names:
-            taken.add(chat)
+            matched_chats.add(chat)
 
     # 400 expected, standard deviation 19
-    assert 320 < len(taken) < 480
+    assert 320 < len(matched_chats) < 480
 
 
-def test_equal_shares_of_two_rules_take_different_chats():
+def test_equal_shares_of_two_rules_match_different_chats():
     first = revision(rule('a', share=50.0))
     second = revision(rule('b', share=50.0), number=2)
     both = 0
     for chat in range(1000):
-        asked = request(chat_key=f'c{chat}')
-        in_first = rules.RuleSet().match(first, asked)
-        in_second = rules.RuleSet().match(second, asked)
+        tested_request = request(chat_key=f'c{chat}')
+        in_first = rules.RuleSet().match(first, tested_request)
+        in_second = rules.RuleSet().match(second, tested_request)
         both += in_first is not None and in_second is not None
 
     assert 180 < both < 320
@@ -165,7 +165,7 @@
 PATHS = st.sampled_from(
     ['/a/*', '/a/b/*', '/a*', '/*', '/a', '/a/', '//*', '/b/c']
 )
-ASKED_PATHS = ['/a', '/a/', '/a/b/c', '/ab', '/', '', '//', 'a/b', '/b/c']
+REQUEST_PATHS = ['/a', '/a/', '/a/b/c', '/ab', '/', '', '//', 'a/b', '/b/c']
 WHENS = st.builds(
     configuration.When,
     customer=st.lists(TEXTS, max_size=2).map(tuple),
@@ -174,7 +174,7 @@
     header=st.dictionaries(st.just('x-h'), TEXTS, max_size=1),
     share=st.sampled_from([100.0, 50.0, 0.0]),
 )
-# no document has these, but records of requests may
+# Documents cannot have these paths, but records of requests may.
 UNROOTED = st.sampled_from(['*', 'a/*', 'a', ''])
 UNROOTED_WHENS = st.builds(
     configuration.When, path=st.lists(UNROOTED, max_size=2).map(tuple)
@@ -183,15 +183,15 @@
     request,
     customer=st.sampled_from(['a', 'b', 'ab', 'c']),
     model=st.sampled_from(['a', 'b', 'abc']),
-    path=st.sampled_from(ASKED_PATHS),
+    path=st.sampled_from(REQUEST_PATHS),
     headers=st.dictionaries(st.just('x-h'), st.sampled_from(['a', 'b', 'c'])),
     chat_key=st.text(max_size=3),
 )
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(whens=st.lists(WHENS, min_size=1, max_size=4), asked=REQUESTS)
-def test_a_rule_warned_about_never_matches_first(whens, asked):
+@given(whens=st.lists(WHENS, min_size=1, max_size=4), tested_request=REQUESTS)
+def test_a_rule_warned_about_never_matches_first(whens, tested_request):
     items = [
         configuration.Rule(f'r{n}', configuration.Then(pool='p'), when)
         for n, when in enumerate(whens)
@@ -199,9 +199,9 @@
     current = revision(*items)
     warned = {w.rule for w in rule_checks.warnings(current.document)}
 
-    found = rules.RuleSet().match(current, asked)
+    matched = rules.RuleSet().match(current, tested_request)
 
-    assert found is None or found.name not in warned
+    assert matched is None or matched.name not in warned
 
 
 def test_rules_that_never_match_are_warned_about():
@@ -209,14 +209,14 @@
         ROOTS / 'test-rules-shadowed' / 'rules.yaml'
     )
 
-    found = [warning.rule for warning in rule_checks.warnings(document)]
+    warned = [warning.rule for warning in rule_checks.warnings(document)]
 
-    assert found == ['never-model', 'never-share', '']
+    assert warned == ['never-model', 'never-share', '']
 
 
-def test_every_fault_of_rules_is_told():
-    # types first, then what does not fit together: a document whose types
-    # are wrong cannot be looked at as a whole
+def test_every_fault_of_rules_is_reported():
+    # Faults of types are reported first, and inconsistencies only once there
+    # are none: a document with wrong types cannot be checked as a whole.
     path = ROOTS / 'test-rules-wrong' / 'rules.yaml'
     with pytest.raises(errors.DocumentErrors) as caught:
         documents_yaml.load_configuration(path)
@@ -266,21 +266,21 @@
     old = revision(rule('old', pool='a'))
     new = revision(rule('new', pool='b'), number=2)
 
-    found = rule_differences.differences([decision()], old, new)
+    comparison = rule_differences.differences([decision()], old, new)
 
-    assert found.compared == 1
-    assert found.differences[0].changed == ('pool',)
-    assert found.differences[0].new_rule == 'new'
+    assert comparison.compared == 1
+    assert comparison.differences[0].changed == ('pool',)
+    assert comparison.differences[0].new_rule == 'new'
 
 
-def test_another_name_for_the_same_way_is_no_difference():
+def test_another_name_for_the_same_action_is_no_difference():
     old = revision(rule('old'))
     new = revision(rule('new'), number=2)
 
     assert not rule_differences.differences([decision()], old, new).differences
 
 
-def test_a_header_that_was_not_kept_makes_it_uncertain():
+def test_a_header_that_was_not_recorded_makes_it_uncertain():
     old = revision(rule('all'))
     new = revision(
         rule('by-header', pool='b', header={'accept-language': 'es'}),
@@ -288,18 +288,19 @@
         number=2,
     )
 
-    found = rule_differences.differences([decision()], old, new)
+    comparison = rule_differences.differences([decision()], old, new)
 
-    assert found.uncertain == ('d1',)
+    assert comparison.uncertain == ('d1',)
 
 
-def test_recorded_share_goes_as_the_request_went():
+def test_share_of_a_recorded_request_matches_as_the_request_did():
     shared = revision(rule('half', share=50.0), rule('rest'))
     for chat in range(50):
-        asked = request(chat_key=f'c{chat}')
-        matched = rules.RuleSet().match(shared, asked)
+        tested_request = request(chat_key=f'c{chat}')
+        matched = rules.RuleSet().match(shared, tested_request)
         recorded = decision(
-            customer=asked.customer, chat=f'{rules.chat_hash(asked):016x}'
+            customer=tested_request.customer,
+            chat=f'{rules.chat_hash(tested_request):016x}',
         )
         compiled = rules.CompiledRules(shared.document.rules)
         attributes = rules.attributes_of_decision(recorded)
@@ -307,15 +308,15 @@
         assert rule_differences.first_match(compiled, attributes)[0] is matched
 
 
-def test_kept_headers_are_bounded():
+def test_recorded_headers_are_bounded():
     headers = {f'x-{n}': 'v' for n in range(100)}
     headers |= {'x-long': 'v' * 1000, 'cookie': 'secret'}
 
-    kept = rules.recorded_headers(headers)
+    recorded = rules.recorded_headers(headers)
 
-    assert len(kept) == rules.MAX_RECORDED_HEADERS
-    assert 'cookie' not in kept
-    assert 'x-long' not in kept
+    assert len(recorded) == rules.MAX_RECORDED_HEADERS
+    assert 'cookie' not in recorded
+    assert 'x-long' not in recorded
 
 
 NAMES = st.text(min_size=1, max_size=6)
@@ -333,7 +334,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(then=THENS, when=WHENS, name=ODD_NAMES)
-def test_what_is_shown_can_be_read_again(then, when, name):
+def test_dumped_document_can_be_parsed_again(then, when, name):
     document = configuration.Configuration(
         rules=(
             configuration.Rule(name, then, attrs.evolve(when, customer=())),
@@ -349,22 +350,22 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(
     whens=st.lists(st.one_of(WHENS, UNROOTED_WHENS), max_size=6),
-    asked=REQUESTS,
+    tested_request=REQUESTS,
 )
-def test_the_index_finds_what_a_scan_of_all_rules_finds(whens, asked):
+def test_the_index_finds_what_a_scan_of_all_rules_finds(whens, tested_request):
     items = [
         configuration.Rule(f'r{n}', configuration.Then(pool='p'), when)
         for n, when in enumerate(whens)
     ]
-    attributes = rules.attributes_of_request(asked)
+    attributes = rules.attributes_of_request(tested_request)
     scanned = [r for r in items if rules.compile_rule(r).matches(attributes)]
 
-    found = rules.CompiledRules(items).find(attributes)
+    first = rules.CompiledRules(items).find(attributes)
 
-    assert found == (scanned[0] if scanned else None)
+    assert first == (scanned[0] if scanned else None)
 
 
-def test_customers_without_end_do_not_fill_the_memory():
+def test_unlimited_customers_do_not_exhaust_memory():
     compiled = rules.CompiledRules([rule('r')])
     for number in range(3 * rules.MAX_CANDIDATE_LISTS):
         compiled.candidates(f'customer-{number}', f'/path-{number}/')
@@ -373,7 +374,7 @@
 
 
 def test_named_customers_and_paths_are_bounded_together():
-    # guards against a table that grows with customers times paths
+    # Guards against a table whose size is the product of customers and paths.
     items = [rule(f'c{n}', customer=(f'c{n}',)) for n in range(100)]
     items += [rule(f'p{n}', path=(f'/p{n}/*',)) for n in range(100)]
     compiled = rules.CompiledRules(items)
@@ -383,12 +384,13 @@
             assert len(compiled.candidate_lists) <= rules.MAX_CANDIDATE_LISTS
 
 
-def test_rules_that_stay_are_not_compiled_again():
-    # guards against a version that stops a router for as long as it has rules
+def test_unchanged_rules_are_not_compiled_again():
+    # Guards against compiling all rules for each new revision, which blocks
+    # the router for a time proportional to the number of rules.
     items = [rule(f'r{n}') for n in range(3)]
     earlier = rules.CompiledRules(items)
     changed = [items[2], attrs.evolve(items[0]), items[1]]
     later = rules.CompiledRules(changed, earlier)
-    same = [any(one is two for two in earlier.rules) for one in later.rules]
+    same = [any(new is old for old in earlier.rules) for new in later.rules]
     assert same == [True, False, True]
-    assert [one.rule for one in later.rules] == changed
+    assert [compiled.rule for compiled in later.rules] == changed
