--- a/bench/capacity/parts.py
+++ b/bench/capacity/parts.py
@@ -96,7 +96,7 @@
         revision = rules_cost.make_revision(count)
         rule_set = rules.RuleSet()
         started = time.process_time()
-        rule_set.rules(revision)
+        rule_set.compiled_rules(revision)
         found.append(time.process_time() - started)
     return round(min(found) * 1000, 2)
 
--- a/bench/rules_cost.py
+++ b/bench/rules_cost.py
@@ -129,7 +129,7 @@
     text = documents_yaml.dump_configuration(revision.document)
 
     rule_set = rules.RuleSet()
-    compiled = rule_set.rules(revision)
+    compiled = rule_set.compiled_rules(revision)
 
     def match() -> None:
         # customers come for the first time in each round
--- a/lavenderbend/coordination/forwarding/explain.py
+++ b/lavenderbend/coordination/forwarding/explain.py
@@ -78,7 +78,7 @@
         self, request: ExplainRequest
     ) -> tuple[list[explanations.RuleStep], forwarding.ForwardRule | None]:
         """Returns the rules that are evaluated, and the one that matches."""
-        facts = rules_module.Facts(
+        attributes = rules_module.RequestAttributes(
             customer='',
             method=request.method.upper(),
             path=request.path.partition('?')[0],
@@ -86,7 +86,7 @@
         )
         steps = []
         for compiled in self.resolver.compiled.rules:
-            failed = compiled.failed(facts)
+            failed = compiled.first_failed_condition(attributes)
             steps.append(explanations.RuleStep(compiled.rule.name, failed))
             if not failed:
                 return steps, compiled.rule
--- a/lavenderbend/coordination/forwarding/request_resolver.py
+++ b/lavenderbend/coordination/forwarding/request_resolver.py
@@ -104,7 +104,7 @@
                 'no configuration was read yet', FRESH_WAIT_SECONDS
             )
         self.compile(table)
-        rule = self.compiled.find(self.match_facts(request))
+        rule = self.compiled.find(self.request_attributes(request))
         if rule is None:
             self.unmatched += 1
             raise errors.NoRuleMatched('no rule matches')
@@ -130,12 +130,12 @@
         self.customers = customers
         self.version = table.version
 
-    def match_facts(
+    def request_attributes(
         self, request: interfaces.CallerRequest
-    ) -> rules_module.Facts:
+    ) -> rules_module.RequestAttributes:
         """Returns the properties of a request that rules match."""
         host = (request.header('host') or '').lower()
-        return rules_module.Facts(
+        return rules_module.RequestAttributes(
             customer='',
             method=request.method.decode('latin-1'),
             path=request.target.decode('latin-1').partition('?')[0],
