--- a/lavenderbend/coordination/orders/orders.py
+++ b/lavenderbend/coordination/orders/orders.py
@@ -10,7 +10,7 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import leases
-from lavenderbend.coordination.orders import memory as order_memory
+from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.coordination.orders import pools as pool_orders
 from lavenderbend.state import hashing
 
@@ -196,10 +196,10 @@
             self.policy.lease_seconds,
             self.policy.margin,
         )
-        memory = order_memory.OrderMemory(
+        records = rollout_records.RolloutRecords(
             self.store, f'{self.prefix}{pool}/memory'
         )
-        return pool_orders.PoolController(pool, lease, memory, self)
+        return pool_orders.PoolController(pool, lease, records, self)
 
     async def run_pool(self, pool: str) -> None:
         """Runs a controller until it is cancelled, then releases its lease."""
--- a/lavenderbend/coordination/orders/pools.py
+++ b/lavenderbend/coordination/orders/pools.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from lavenderbend.coordination import leases
-    from lavenderbend.coordination.orders import memory as order_memory
+    from lavenderbend.coordination.orders import rollout_records
     from lavenderbend.coordination.orders import orders as orders_module
     from lavenderbend.state import upstreams
 
@@ -41,7 +41,7 @@
     Attributes:
         pool: Name of the pool.
         lease: The lease of the pool.
-        memory: Results that earlier controllers stored.
+        records: Results that earlier controllers stored.
         engines: Calls to the engines.
         states: States of the engines as last read, by engine.
         pending: Orders in progress, by engine.
@@ -57,12 +57,12 @@
         self,
         pool: str,
         lease: leases.Lease,
-        memory: order_memory.OrderMemory,
+        records: rollout_records.RolloutRecords,
         controller: orders_module.OrderController,
     ) -> None:
         self.pool = pool
         self.lease = lease
-        self.memory = memory
+        self.records = records
         self.membership = controller.membership
         self.configurations = controller.configurations
         self.policy = controller.policy
@@ -99,24 +99,24 @@
             # that the former holder began before it was paused. After this
             # wait the order has ended, or the engine has dropped it.
             await trio.sleep(self.policy.takeover_wait)
-        await self.load_memory()
+        await self.load_records()
         while True:
             self.states = await self.engines.read(self.vms().values())
             await self.announce_fencing()
             self.update_outcomes()
             self.start_due_orders(nursery)
-            await self.memory.save()
+            await self.records.save()
             await trio.sleep(self.policy.interval)
 
-    async def load_memory(self) -> None:
+    async def load_records(self) -> None:
         """Reads what earlier controllers stored; retries until it succeeds."""
         while True:
             try:
-                await self.memory.load()
+                await self.records.load()
             except errors.KeyValueError:
                 await trio.sleep(self.policy.interval)
                 continue
-            self.proven = set(self.memory.good.values())
+            self.proven = set(self.records.good.values())
             return
 
     def checks_fencing(self) -> bool:
@@ -151,9 +151,9 @@
             target = orders.Target(
                 order.model, order.version, order.adapters, order.role
             )
-            self.memory.clear_bad(order.model, target)
-            bad = self.memory.bad.get(order.model) == target
-            good = self.memory.good.get(order.model)
+            self.records.clear_bad(order.model, target)
+            bad = self.records.bad.get(order.model) == target
+            good = self.records.good.get(order.model)
             if bad and good is not None:
                 configured.append(orders.Wanted(good, order.replicas))
             else:
@@ -223,7 +223,7 @@
             len(serving) >= configured.replicas
             and configured.target in self.proven
         ):
-            self.memory.note_good(configured.target)
+            self.records.note_good(configured.target)
 
     def record_failure(self, engine: str, target: orders.Target) -> None:
         """Records that an engine failed to serve a target.
@@ -232,11 +232,11 @@
         unless the target is the last good one.
         """
         self.pending.pop(engine, None)
-        if self.memory.note_failure(target) < self.policy.failures:
+        if self.records.note_failure(target) < self.policy.failures:
             return
-        if self.memory.good.get(target.model) == target:
+        if self.records.good.get(target.model) == target:
             return
-        self.memory.note_bad(target)
+        self.records.note_bad(target)
         logs.change(
             'roll_stopped',
             pool=self.pool,
@@ -275,7 +275,7 @@
 
     def is_bad(self, target: orders.Target) -> bool:
         """Returns whether the rollout of a target was stopped."""
-        return self.memory.bad.get(target.model) == target
+        return self.records.bad.get(target.model) == target
 
     def may_send_to(self, engine: str) -> bool:
         """Returns whether an order may be sent to an engine now.
@@ -294,4 +294,4 @@
             self.record_failure(vm.id, target)
             # Saved at once: the next controller must know of the failure
             # before it tries another engine.
-            await self.memory.save()
+            await self.records.save()
--- a/lavenderbend/coordination/orders/memory.py
+++ b/lavenderbend/coordination/orders/rollout_records.py
@@ -31,7 +31,7 @@
     count: int
 
 
-class OrderMemory:
+class RolloutRecords:
     """Targets known to be good or bad, stored under one key of the service.
 
     Attributes:
--- a/tests/test_coordination/test_agreed_orders.py
+++ b/tests/test_coordination/test_agreed_orders.py
@@ -11,7 +11,7 @@
 from bench.agreed import order_rolls
 from bench.decisions import views as decision_views
 from lavenderbend import errors
-from lavenderbend.coordination.orders import memory as order_memory
+from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.coordination.orders import orders as orders_module
 from lavenderbend.standin import weight_store
 from lavenderbend.state import configuration
@@ -338,24 +338,24 @@
     # failure as saved because the first write succeeded: the next controller
     # would try the bad version again.
     store = fakes.service(jitter=0.0)
-    memory = order_memory.OrderMemory(store, '/memory')
+    records = rollout_records.RolloutRecords(store, '/memory')
 
     async def refuse(*args):
         raise errors.KeyValueUnavailable('over the rate')
 
-    memory.note_good(OLD)
+    records.note_good(OLD)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(memory.save)
+        nursery.start_soon(records.save)
         # The write has ended, and the read back is in transit.
         await trio.sleep(0.003)
         assert store.calls['read'] == store.calls['create'] == 1
-        memory.note_failure(NEW)
+        records.note_failure(NEW)
         with monkeypatch.context() as patch:
             patch.setattr(store, 'create', refuse)
             patch.setattr(store, 'replace', refuse)
-            await memory.save()
-    await memory.save()
-    successor = order_memory.OrderMemory(store, '/memory')
+            await records.save()
+    await records.save()
+    successor = rollout_records.RolloutRecords(store, '/memory')
     await successor.load()
     assert successor.good == {'m': OLD}
-    assert successor.failures == {'m': order_memory.Failures(NEW, 1)}
+    assert successor.failures == {'m': rollout_records.Failures(NEW, 1)}
--- a/tests/test_protocol/test_protocol_samples.py
+++ b/tests/test_protocol/test_protocol_samples.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lavenderbend import errors
-from lavenderbend.coordination.orders import memory
+from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.protocol import messages_agreed
 from lavenderbend.protocol import messages_decisions
 from lavenderbend.protocol import messages_forwarding
@@ -389,9 +389,9 @@
     )
 
 
-def test_order_memory_has_the_text_of_earlier_builds():
+def test_rollout_records_have_the_text_of_earlier_builds():
     # a controller that cannot read it tries bad versions again
-    store = memory.OrderMemory(None, 'key')
+    store = rollout_records.RolloutRecords(None, 'key')
     store.note_good(TARGET)
     store.note_bad(TARGET)
     store.note_failure(TARGET)
