--- a/lavenderbend/coordination/orders/orders.py
+++ b/lavenderbend/coordination/orders/orders.py
@@ -10,8 +10,8 @@
 
 from lavenderbend import errors
 from lavenderbend.coordination import leases
-from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.coordination.orders import pools as pool_orders
+from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.state import hashing
 
 if TYPE_CHECKING:
--- a/lavenderbend/coordination/orders/pools.py
+++ b/lavenderbend/coordination/orders/pools.py
@@ -15,8 +15,8 @@
 
 if TYPE_CHECKING:
     from lavenderbend.coordination import leases
-    from lavenderbend.coordination.orders import rollout_records
     from lavenderbend.coordination.orders import orders as orders_module
+    from lavenderbend.coordination.orders import rollout_records
     from lavenderbend.state import upstreams
 
 
--- a/tests/test_coordination/test_agreed_log_interleavings.py
+++ b/tests/test_coordination/test_agreed_log_interleavings.py
@@ -249,7 +249,7 @@
 
 
 def paused_writers_and_a_compactor(subject_log):
-    """Writers that last read the log at 0, 1 and 3 entries."""
+    """Writers that last read the log at 0, 1 and 3 entries; a compactor."""
     return [
         writer(subject_log, 'a', 1),
         writer(subject_log, 'b', 2),
--- a/tests/test_coordination/test_agreed_orders.py
+++ b/tests/test_coordination/test_agreed_orders.py
@@ -11,8 +11,8 @@
 from bench.agreed import order_rolls
 from bench.decisions import views as decision_views
 from lavenderbend import errors
-from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.coordination.orders import orders as orders_module
+from lavenderbend.coordination.orders import rollout_records
 from lavenderbend.standin import weight_store
 from lavenderbend.state import configuration
 from lavenderbend.state import orders
