--- a/bench/rules_cost.py
+++ b/bench/rules_cost.py
@@ -133,7 +133,7 @@
 
     def match() -> None:
         # customers come for the first time in each round
-        compiled.found.clear()
+        compiled.candidate_lists.clear()
         for request in asked:
             rule_set.match(revision, request)
 
--- a/tests/test_coordination/test_rules.py
+++ b/tests/test_coordination/test_rules.py
@@ -190,8 +190,8 @@
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(whens=st.lists(WHENS, min_size=1, max_size=4), tested_request=REQUESTS)
-def test_a_rule_warned_about_never_matches_first(whens, tested_request):
+@given(whens=st.lists(WHENS, min_size=1, max_size=4), asked=REQUESTS)
+def test_a_rule_warned_about_never_matches_first(whens, asked):
     items = [
         configuration.Rule(f'r{n}', configuration.Then(pool='p'), when)
         for n, when in enumerate(whens)
@@ -199,9 +199,9 @@
     current = revision(*items)
     warned = {w.rule for w in rule_checks.warnings(current.document)}
 
-    matched = rules.RuleSet().match(current, tested_request)
+    found = rules.RuleSet().match(current, asked)
 
-    assert matched is None or matched.name not in warned
+    assert found is None or found.name not in warned
 
 
 def test_rules_that_never_match_are_warned_about():
@@ -334,7 +334,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(then=THENS, when=WHENS, name=ODD_NAMES)
-def test_dumped_document_can_be_parsed_again(then, when, name):
+def test_what_is_shown_can_be_read_again(then, when, name):
     document = configuration.Configuration(
         rules=(
             configuration.Rule(name, then, attrs.evolve(when, customer=())),
@@ -350,19 +350,19 @@
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(
     whens=st.lists(st.one_of(WHENS, UNROOTED_WHENS), max_size=6),
-    tested_request=REQUESTS,
+    asked=REQUESTS,
 )
-def test_the_index_finds_what_a_scan_of_all_rules_finds(whens, tested_request):
+def test_the_index_finds_what_a_scan_of_all_rules_finds(whens, asked):
     items = [
         configuration.Rule(f'r{n}', configuration.Then(pool='p'), when)
         for n, when in enumerate(whens)
     ]
-    attributes = rules.attributes_of_request(tested_request)
+    attributes = rules.attributes_of_request(asked)
     scanned = [r for r in items if rules.compile_rule(r).matches(attributes)]
 
-    first = rules.CompiledRules(items).find(attributes)
+    found = rules.CompiledRules(items).find(attributes)
 
-    assert first == (scanned[0] if scanned else None)
+    assert found == (scanned[0] if scanned else None)
 
 
 def test_unlimited_customers_do_not_exhaust_memory():
