--- a/tests/disagreeing_fleet.py
+++ b/tests/disagreeing_fleet.py
@@ -136,9 +136,9 @@
         """Ids of the engines."""
         return list(self.running)
 
-    def permit_ask(self, chat: int) -> interfaces.PermitAsk:
+    def permit_request(self, chat: int) -> interfaces.PermitRequest:
         """Returns the argument of `acquire` for a chat."""
-        return interfaces.PermitAsk(
+        return interfaces.PermitRequest(
             request_id=f'request-{len(self.held)}',
             pool=POOL.name,
             customer='court',
@@ -154,7 +154,7 @@
         """Runs one request, if it is admitted."""
         entry = self.admissions[router]
         try:
-            permit = await entry.acquire(self.permit_ask(chat))
+            permit = await entry.acquire(self.permit_request(chat))
         except errors.RequestError:
             return
         index = self.record_permit(router, permit)
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -80,7 +80,7 @@
     assert daemon.orders.policy == orders.OrderPolicy(
         interval=3.0,
         loads_at_once=5,
-        load_gap=6.0,
+        load_interval=6.0,
         unavailable=0.5,
         settle_seconds=420.0,
         bake_seconds=8.0,
