--- a/lavenderbend/coordination/admission/context_moves.py
+++ b/lavenderbend/coordination/admission/context_moves.py
@@ -60,7 +60,7 @@
         now = trio.current_time()
         contexts = [
             cache_transfer.Context(chat, use.tokens, now - use.at)
-            for chat, use in self.places.at(place).items()
+            for chat, use in self.places.chats_at(place).items()
         ]
         targets = {name: self.loads.table.load(name) for name in self.members}
         moves = cache_transfer.plan_moves(contexts, targets, self.settings)
--- a/lavenderbend/coordination/admission/loads.py
+++ b/lavenderbend/coordination/admission/loads.py
@@ -95,7 +95,7 @@
             if report is None:
                 continue
             at = self.membership.report_at(vm.id)
-            seen = self.table.seen.get(vm.id)
+            seen = self.table.reports.get(vm.id)
             if seen is None or seen.at != at:
                 self.table.join(vm.id, at, report.load)
         return vms
@@ -111,7 +111,7 @@
         """
         dropped = []
         for vm in self.upstreams():
-            seen = self.table.seen.get(vm.id)
+            seen = self.table.reports.get(vm.id)
             if seen is None:
                 continue
             unused = self.unconfirmed.unused(vm.id, seen.at, seen.reported)
@@ -134,7 +134,7 @@
             upstream: VM id.
             share: Fraction of the live routers that use this owner.
         """
-        seen = self.table.seen.get(upstream)
+        seen = self.table.reports.get(upstream)
         outdated = seen is None or seen.at < self.entries.last_joined_at
         if share >= 1.0 and outdated:
             return self.table.own(upstream)
@@ -252,7 +252,7 @@
             return
         share = min(share, (own + 1) / (load + 1))
         for candidate in candidates:
-            seen = self.table.seen.get(candidate.upstream)
+            seen = self.table.reports.get(candidate.upstream)
             if seen is None:
                 continue
             headroom = math.ceil(
@@ -334,7 +334,7 @@
 
     def predates_ownership(self, upstream: str) -> bool:
         """Returns whether a report is from before this router was owner."""
-        seen = self.table.seen.get(upstream)
+        seen = self.table.reports.get(upstream)
         return seen is not None and seen.at < self.entries.active_since
 
     def foreign_load_ended(
@@ -354,7 +354,7 @@
 
     def ended_fraction(self, upstream: str) -> float:
         """Returns the fraction of a report's requests that may have ended."""
-        seen = self.table.seen.get(upstream)
+        seen = self.table.reports.get(upstream)
         service_seconds = self.rates.service_seconds
         if seen is None:
             return MIN_FOREIGN_ENDED_FRACTION
--- a/lavenderbend/coordination/admission/owned.py
+++ b/lavenderbend/coordination/admission/owned.py
@@ -93,7 +93,7 @@
             have differed, seconds later.
         """
         if self.entries.note_contact(entry):
-            self.places.fresh.clear()
+            self.places.placed_here.clear()
         return self.pop_freed(entry)
 
     def pop_freed(self, entry: str) -> bool:
@@ -193,7 +193,7 @@
             self.shares.live[customer] += 1
         # The permits were live when the last reports were taken: after a new
         # join they no longer count as load from other owners.
-        self.table.seen.clear()
+        self.table.reports.clear()
 
     def check_digest(self, entry: str, count: int, digest: int) -> bool:
         """Returns whether an entry router should list its permits.
--- a/lavenderbend/coordination/admission/place_replication.py
+++ b/lavenderbend/coordination/admission/place_replication.py
@@ -79,4 +79,4 @@
             upstream = upstream_names.get(message.upstreams[index])
             if upstream is not None:
                 place = placements.Place(upstream, message.instances[index])
-                self.places.learn(chat, place)
+                self.places.merge(chat, place)
--- a/lavenderbend/coordination/claims/shards.py
+++ b/lavenderbend/coordination/claims/shards.py
@@ -334,4 +334,4 @@
         if not before or before <= self.table.batches[0].number:
             return
         await self.log.compact(before)
-        self.table.forget(before)
+        self.table.remove_before(before)
--- a/lavenderbend/coordination/forwarding/rendezvous.py
+++ b/lavenderbend/coordination/forwarding/rendezvous.py
@@ -37,7 +37,7 @@
     def order(self, key: str) -> Iterator[str]:
         """Yields the upstreams in a chat's order, the preferred one first."""
         # A heap instead of a sort: most requests only need the first one.
-        scored = list(hashing.scores(key, self.names))
+        scored = list(hashing.sort_keys(key, self.names))
         heapq.heapify(scored)
         while scored:
             yield heapq.heappop(scored)[1]
--- a/lavenderbend/state/__init__.py
+++ b/lavenderbend/state/__init__.py
@@ -1,1 +1,1 @@
-"""Values and tables, without input or output."""
+"""Value classes and in-memory tables; nothing here performs I/O."""
--- a/lavenderbend/state/claims.py
+++ b/lavenderbend/state/claims.py
@@ -1,4 +1,9 @@
-"""Claims of non-idempotent requests and the table they make."""
+"""Claims of non-idempotent requests, and the claim table of a shard.
+
+A claim is the exclusive right to run the request with a given idempotency
+key. Claims and outcomes are written to a log; the table is the result of
+applying its entries in order.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +20,15 @@
 
 
 class ClaimState(enum.Enum):
-    """Where a claim stands for the one who asks.
-
-    `ABSENT`: the table has no claim for the key. `UNDECIDED`: nothing is
-    known yet, ask again. `REFUSED`: the owner has not even queued it, as
-    the key-value service is down. `UNAVAILABLE`: it was queued and given
-    up; it may still come to stand in the log.
+    """State of a claim, from the point of view of the requesting router.
+
+    `CLAIMED`: the requester holds the claim. `RUNNING`: another request
+    holds it and has no outcome yet. `RECORDED`: the outcome of another
+    request is recorded. `REUSED`: the key was used with another body.
+    `ABSENT`: the table has no claim for the key. `UNDECIDED`: the result is
+    not known yet; the requester should retry. `REFUSED`: the owner did not
+    queue the claim because the key-value service is down. `UNAVAILABLE`: the
+    claim was queued and abandoned; it may still be committed to the log.
     """
 
     CLAIMED = 'claimed'
@@ -35,12 +43,12 @@
 
 @attrs.frozen
 class ClaimToken:
-    """The right to run one request once.
+    """Identifies a claim: the right to run one request once.
 
     Attributes:
         shard: Number of the shard that holds the claim.
         key: Hash of customer and idempotency key.
-        id: Unlike that of any other claim.
+        id: Unique among all claims.
     """
 
     shard: int
@@ -50,10 +58,10 @@
 
 @attrs.frozen
 class Claimed:
-    """The request is to be run now, once, by whoever asked.
+    """The claim was granted: the requester must run the request once.
 
     Attributes:
-        token: Given back with the outcome.
+        token: Has to be passed on when the outcome is recorded.
     """
 
     token: ClaimToken
@@ -64,8 +72,9 @@
     """The request was claimed before; it must not be run.
 
     Attributes:
-        outcome: What its first caller was told; unknown if nobody can tell.
-        status: HTTP status that its first caller was told, if any.
+        outcome: Outcome returned to its first caller; unknown if it cannot
+            be determined.
+        status: HTTP status returned to its first caller, if any.
     """
 
     outcome: errors.Outcome
@@ -74,13 +83,13 @@
 
 @attrs.frozen
 class ClaimLine:
-    """A claim as it stands in the log.
+    """A claim as written to the log.
 
     Attributes:
         key: Hash of customer and idempotency key.
         token: Id of the claim's token.
-        digest: Hash of the body.
-        entry: Router that asked, and runs it.
+        digest: Hash of the request body.
+        entry: Entry router, which requested the claim and runs the request.
     """
 
     key: bytes
@@ -91,13 +100,13 @@
 
 @attrs.frozen
 class OutcomeLine:
-    """An outcome as it stands in the log.
+    """An outcome as written to the log.
 
     Attributes:
         key: Hash of customer and idempotency key.
         token: Id of the claim's token.
-        outcome: Not run releases the claim.
-        status: HTTP status that the caller was told, if any.
+        outcome: The outcome; `NOT_RUN` releases the claim.
+        status: HTTP status returned to the caller, if any.
     """
 
     key: bytes
@@ -111,10 +120,10 @@
     """One entry of a claims log.
 
     Attributes:
-        id: Unlike that of any other batch.
+        id: Unique among all batches.
         at: Seconds since the epoch, by the writer's clock.
-        claims: Claims, the first for a key counts.
-        outcomes: Outcomes; they count before the claims.
+        claims: Claims; the first one for a key takes effect.
+        outcomes: Outcomes; they are applied before the claims.
     """
 
     id: bytes
@@ -125,15 +134,15 @@
 
 @attrs.define
 class HeldClaim:
-    """A claim that counts.
+    """A claim in effect.
 
     Attributes:
         token: Id of its token.
-        digest: Hash of the body.
-        entry: Router that runs it.
-        number: Log entry that it stands in.
-        outcome: The outcome once recorded.
-        status: HTTP status once recorded.
+        digest: Hash of the request body.
+        entry: Entry router, which runs the request.
+        number: Number of the log entry that contains it.
+        outcome: The outcome, None until it is recorded.
+        status: HTTP status, None until it is recorded.
     """
 
     token: bytes
@@ -146,13 +155,13 @@
 
 @attrs.frozen
 class AppliedBatch:
-    """What is needed to forget a batch again.
+    """What is needed to remove the effects of a batch from the table.
 
     Attributes:
-        number: Its log entry.
-        at: Its time.
+        number: Number of its log entry.
+        at: Time of the batch, in seconds since the epoch.
         keys: Keys that it claimed.
-        released: Keys and tokens that it released.
+        released: Keys and token ids that it released.
     """
 
     number: int
@@ -162,12 +171,15 @@
 
 
 class ClaimTable:
-    """The claims of one shard: the same for everyone who read the log.
+    """The claims of one shard, as determined by its log.
+
+    All routers that have applied the same log entries have equal tables.
 
     Attributes:
-        held: Claims that count, by key.
-        released: Keys and tokens whose claims never count (again).
-        batches: Batches that the table was made from, oldest first.
+        held: Claims in effect, by key.
+        released: Keys and token ids whose claims must not take effect
+            (again).
+        batches: Applied batches that are retained, oldest first.
     """
 
     def __init__(self) -> None:
@@ -176,46 +188,53 @@
         self.batches: list[AppliedBatch] = []
 
     def apply(self, number: int, batch: Batch) -> None:
-        """Takes the next entry of the log."""
+        """Applies the next entry of the log."""
         released = []
         for line in batch.outcomes:
-            self.record(line)
+            self.apply_outcome(line)
             if line.outcome is errors.Outcome.NOT_RUN:
                 released.append((line.key, line.token))
         for line in batch.claims:
-            self.claim(number, line)
+            self.apply_claim(number, line)
         keys = tuple(line.key for line in batch.claims)
         self.batches.append(
             AppliedBatch(number, batch.at, keys, tuple(released))
         )
 
-    def claim(self, number: int, line: ClaimLine) -> None:
-        """Counts a claim if it is the first for its key."""
+    def apply_claim(self, number: int, line: ClaimLine) -> None:
+        """Puts a claim into effect if it is the first for its key."""
         if line.key in self.held:
             return
-        # its asker gave up and said 'not run' before this claim arrived by
-        # a slower way: counting it would block the key for ever
+        # The requester gave up and recorded NOT_RUN before this claim, which
+        # was delayed, reached the log. Putting it into effect would block
+        # the key for ever.
         if (line.key, line.token) in self.released:
             return
         self.held[line.key] = HeldClaim(
             line.token, line.digest, line.entry, number
         )
 
-    def record(self, line: OutcomeLine) -> None:
-        """Notes the outcome of a claim; the first one counts."""
+    def apply_outcome(self, line: OutcomeLine) -> None:
+        """Records the outcome of a claim, unless it already has one."""
         held = self.held.get(line.key)
-        mine = held is not None and held.token == line.token
+        same_claim = held is not None and held.token == line.token
         if line.outcome is errors.Outcome.NOT_RUN:
             self.released.add((line.key, line.token))
-            if mine and held.outcome is None:
+            if same_claim and held.outcome is None:
                 del self.held[line.key]
             return
-        if mine and held.outcome is None:
+        if same_claim and held.outcome is None:
             held.outcome = line.outcome
             held.status = line.status
 
     def state(self, key: bytes, token: bytes, digest: bytes) -> ClaimState:
-        """Returns where a claim stands."""
+        """Returns the state of a claim.
+
+        Args:
+            key: Hash of customer and idempotency key.
+            token: Id of the claim's token.
+            digest: Hash of the request body.
+        """
         held = self.held.get(key)
         if held is None:
             return ClaimState.ABSENT
@@ -227,8 +246,8 @@
             return ClaimState.RUNNING
         return ClaimState.RECORDED
 
-    def forget(self, before: int) -> None:
-        """Forgets the batches before a log entry."""
+    def remove_before(self, before: int) -> None:
+        """Removes the batches before a log entry, and their claims."""
         count = 0
         for batch in self.batches:
             if batch.number >= before:
@@ -242,7 +261,11 @@
         del self.batches[:count]
 
     def first_since(self, at: float) -> int:
-        """Returns the first log entry to keep, 0 if there is none."""
+        """Returns the first log entry to retain.
+
+        That is the first entry whose time is `at` or later, else the last
+        entry; 0 if there are no entries.
+        """
         for batch in self.batches:
             if batch.at >= at:
                 return batch.number
--- a/lavenderbend/state/documents.py
+++ b/lavenderbend/state/documents.py
@@ -15,7 +15,8 @@
 from lavenderbend import errors
 from lavenderbend.state import configuration
 
-# sections in the order of the digest, each with the class of its items
+# Sections in the order in which the digest covers them, with the class of
+# their items.
 SECTIONS: dict[str, type] = {
     'rules': configuration.Rule,
     'pools': configuration.Pool,
@@ -30,11 +31,11 @@
 class Document:
     """A configuration as one canonical JSON text for each item.
 
-    A change of one item leaves the others as they are: nothing else has to
-    be written, sent or read again.
+    A change of one item does not affect the text of the others, so only the
+    changed item has to be written, sent and parsed again.
 
     Attributes:
-        sections: Items by section, in order.
+        sections: JSON texts of the items by section, in order.
     """
 
     sections: dict[str, tuple[bytes, ...]]
@@ -54,13 +55,13 @@
 
 @attrs.frozen
 class Splice:
-    """Items of a section that take the place of others.
+    """Replacement of a range of items of a section.
 
     Attributes:
         section: Name of the section.
         first: Index of the first item replaced.
         last: Index after the last item replaced.
-        items: What stands there now.
+        items: The items put in their place.
     """
 
     section: str
@@ -70,36 +71,41 @@
 
 
 def unpack_item(section: str, text: bytes) -> object:
-    """Returns the object of one item's text.
+    """Returns the item that a JSON text describes.
 
     Raises:
-        CodecError: The text is no item of that section.
+        CodecError: The text is not a valid item of the section.
     """
     try:
-        return structure(section, text)
+        return structure_item(section, text)
     except (ValueError, TypeError, cattrs.BaseValidationError) as exc:
         raise errors.CodecError(f'{section}: {exc!r}') from exc
 
 
 @functools.lru_cache(maxsize=CACHED_ITEMS)
-def structure(section: str, text: bytes) -> object:
-    """Returns the object of one item's text, cached."""
+def structure_item(section: str, text: bytes) -> object:
+    """Returns the item that a JSON text describes, from a cache.
+
+    Raises:
+        ValueError, TypeError, cattrs.BaseValidationError: The text is not a
+            valid item of the section.
+    """
     return CONVERTER.structure(json.loads(text), SECTIONS[section])
 
 
-def from_configuration(item: configuration.Configuration) -> Document:
-    """Returns the document of a configuration."""
+def from_configuration(source: configuration.Configuration) -> Document:
+    """Returns a configuration as a document."""
     sections = {}
     for name in SECTIONS:
         sections[name] = tuple(
-            json_text(member) for member in getattr(item, name)
+            json_text(item) for item in getattr(source, name)
         )
     return Document(sections)
 
 
-def json_text(member: object) -> bytes:
+def json_text(item: object) -> bytes:
     """Returns the canonical JSON text of one item."""
-    value = CONVERTER.unstructure(member)
+    value = CONVERTER.unstructure(item)
     text = json.dumps(
         value, sort_keys=True, separators=(',', ':'), ensure_ascii=False
     )
@@ -107,10 +113,10 @@
 
 
 def to_configuration(document: Document) -> configuration.Configuration:
-    """Returns the configuration of a document.
+    """Returns the configuration that a document describes.
 
     Raises:
-        CodecError: An item cannot be read.
+        CodecError: An item is not valid.
     """
     parts = {}
     for name in SECTIONS:
@@ -120,16 +126,16 @@
 
 
 def pack(document: Document) -> bytes:
-    """Returns the document as compressed bytes."""
+    """Encodes a document as compressed `msgpack`."""
     values = [list(document.sections[name]) for name in SECTIONS]
     return zlib.compress(msgpack.packb(values), 6)
 
 
 def unpack(data: bytes) -> Document:
-    """Returns the document of bytes made by `pack`.
+    """Decodes a document encoded by `pack`.
 
     Raises:
-        CodecError: The bytes are no document.
+        CodecError: The data is not a valid document.
     """
     try:
         values = msgpack.unpackb(zlib.decompress(data))
@@ -140,17 +146,17 @@
 
 
 def delta(old: Document, new: Document) -> tuple[Splice, ...]:
-    """Returns what turns one document into another."""
-    found = []
+    """Returns the splices that turn one document into another."""
+    splices = []
     for name in SECTIONS:
-        found += section_delta(name, old.sections[name], new.sections[name])
-    return tuple(found)
+        splices += section_delta(name, old.sections[name], new.sections[name])
+    return tuple(splices)
 
 
 def section_delta(
     name: str, old: tuple[bytes, ...], new: tuple[bytes, ...]
 ) -> list[Splice]:
-    """Returns the splices of one section, first ones first."""
+    """Returns the splices of one section, by ascending index."""
     if old == new:
         return []
     matcher = difflib.SequenceMatcher(None, old, new, autojunk=False)
@@ -162,13 +168,13 @@
 
 
 def apply(document: Document, splices: tuple[Splice, ...]) -> Document:
-    """Returns the document after a delta.
+    """Returns the document that results from a delta.
 
     Raises:
         CodecError: The delta does not fit the document.
     """
     sections = {name: list(items) for name, items in document.sections.items()}
-    # from the back, so that earlier indexes stay right
+    # In reverse order, so that the indexes of earlier splices stay valid.
     for splice in reversed(splices):
         items = sections.get(splice.section)
         if items is None or splice.last > len(items):
@@ -178,11 +184,11 @@
 
 
 def difference(old: Document, new: Document) -> tuple[str, ...]:
-    """Returns what changed, one line for each item."""
+    """Returns the changed items, one line of text for each."""
     lines = []
     for splice in delta(old, new):
-        gone = old.sections[splice.section][splice.first : splice.last]
-        before = {label(item): item for item in gone}
+        replaced = old.sections[splice.section][splice.first : splice.last]
+        before = {label(item): item for item in replaced}
         after = {label(item): item for item in splice.items}
         for name in before.keys() - after.keys():
             lines.append(f'{splice.section}: {name} removed')
@@ -195,7 +201,7 @@
 
 
 def label(item: bytes) -> str:
-    """Returns what an operator calls an item."""
+    """Returns the name under which an item is shown to operators."""
     value = json.loads(item)
     if 'name' in value:
         return value['name']
--- a/lavenderbend/state/hashing.py
+++ b/lavenderbend/state/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that are the same on every router."""
+"""Hash functions that give equal results on all routers."""
 
 from __future__ import annotations
 
@@ -14,56 +14,63 @@
 
 MAX_HASH = 2**64
 SHORT_SHIFT = 32
-# names of upstreams and chats that are hashed again and again
-MAX_FRAMED = 32_768
+# Upstream and chat names are hashed repeatedly; their encoded forms are cached.
+CACHED_PARTS = 32_768
 
 
 def hash64(*parts: str | bytes) -> int:
-    """Returns a 64-bit hash of the parts, told apart by their lengths."""
-    return xxhash.xxh3_64_intdigest(b''.join(map(framed, parts)))
+    """Returns a 64-bit hash of the parts.
+
+    The length of each part is hashed too, so that moving a character from
+    one part to the next gives another hash.
+    """
+    return xxhash.xxh3_64_intdigest(b''.join(map(length_prefixed, parts)))
 
 
 def short_id(name: str) -> int:
-    """Returns what names something in a datagram, in four bytes.
+    """Returns a four-byte id that stands for a name in datagrams.
 
-    Of 6,100 names two have the same with a chance of one in 200: only for
-    what may be wrong.
+    Among 6,100 names, the probability that two have the same id is 1 in 200.
+    It must be used only where a collision is harmless.
     """
     return hash64(name) >> SHORT_SHIFT
 
 
-@functools.lru_cache(maxsize=MAX_FRAMED)
-def framed(part: str | bytes) -> bytes:
-    """Returns a part behind its length."""
+@functools.lru_cache(maxsize=CACHED_PARTS)
+def length_prefixed(part: str | bytes) -> bytes:
+    """Returns a part preceded by its length in four bytes."""
     data = part.encode() if isinstance(part, str) else part
     return len(data).to_bytes(4, 'big') + data
 
 
-def scores(
+def sort_keys(
     key: str | bytes, members: Iterable[str]
 ) -> Iterator[tuple[int, str]]:
-    """Yields the members with what orders them, the first the least.
+    """Yields each member with its sort key: its negated rendezvous score.
 
-    A score is the `hash64` of key and member; made at once it takes a third
-    of the time, 0.4 us, which 3,000 upstreams make felt.
+    The score is `hash64(key, member)`. Computing it without calling `hash64`
+    takes a third of the time, 0.4 us, which matters with 3,000 upstreams.
     """
-    head = framed(key)
+    prefix = length_prefixed(key)
     for member in members:
-        yield -xxhash.xxh3_64_intdigest(head + framed(member)), member
+        yield (
+            -xxhash.xxh3_64_intdigest(prefix + length_prefixed(member)),
+            member,
+        )
 
 
 def rendezvous_order(key: str | bytes, members: Iterable[str]) -> list[str]:
-    """Returns the members by falling rendezvous score for the key."""
-    return [member for _, member in sorted(scores(key, members))]
+    """Returns the members by descending rendezvous score for the key."""
+    return [member for _, member in sorted(sort_keys(key, members))]
 
 
 def rendezvous(key: str | bytes, members: Iterable[str]) -> str | None:
     """Returns the member with the highest score, None if there is none."""
-    best = min(scores(key, members), default=None)
+    best = min(sort_keys(key, members), default=None)
     return None if best is None else best[1]
 
 
 def weighted_score(key: str | bytes, member: str, weight: float) -> float:
     """Returns the weighted rendezvous score (logarithmic method)."""
-    unit = (hash64(key, member) + 1) / (MAX_HASH + 1)
-    return -weight / math.log(unit)
+    fraction = (hash64(key, member) + 1) / (MAX_HASH + 1)
+    return -weight / math.log(fraction)
--- a/lavenderbend/state/key_values.py
+++ b/lavenderbend/state/key_values.py
@@ -1,4 +1,4 @@
-"""What the key-value service holds."""
+"""Entries of the key-value service."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen
 class KeyValue:
-    """A key with its value and revisions.
+    """One entry of the key-value service.
 
     Attributes:
         key: The key.
         value: The value.
-        create_revision: Store revision of its creation.
-        mod_revision: Store revision of its last change.
-        lease: Lease id, 0 for none.
+        create_revision: Store revision at which the key was created.
+        mod_revision: Store revision at which the key was last changed.
+        lease: Id of the lease the key is attached to, 0 for none.
     """
 
     key: str
--- a/lavenderbend/state/permits.py
+++ b/lavenderbend/state/permits.py
@@ -1,4 +1,4 @@
-"""Live permits of a group of upstreams, joined with lagging reports."""
+"""Live permits of a group of upstreams, combined with delayed load reports."""
 
 from __future__ import annotations
 
@@ -6,23 +6,26 @@
 
 import attrs
 
-# a report's time is known to about a round trip; a request on its way to
-# the engine or an answer on its way back must not count as foreign load
+# The time of a report is known only to within about a round trip. Requests in
+# transit to the engine and answers in transit back must not be counted as
+# load from other owners.
 REPORT_SLACK_SECONDS = 0.05
-RELEASED_SECONDS = 15.0
+# Time for which released permits are retained to be matched with reports.
+RELEASED_RETENTION_SECONDS = 15.0
 
 
 @attrs.frozen
 class LivePermit:
-    """A permit that has not been given back.
+    """A permit that has not been released.
 
     Attributes:
-        entry: Router that uses it.
-        number: The entry's number for it.
+        entry: Entry router that uses it.
+        number: Number that the entry router gave it.
         upstream: VM id.
-        granted_at: Owner clock.
+        granted_at: Time of the grant, by the owner's clock.
         customer: Short id of its customer, 0 if unknown.
-        suspect_chat: Chat of a request that was on an upstream that died.
+        suspect_chat: Chat of the request if it was running on an upstream
+            that crashed, else None.
     """
 
     entry: str
@@ -34,14 +37,14 @@
 
 
 @attrs.frozen
-class Seen:
-    """A report joined with the permits at the time it was taken.
+class MatchedReport:
+    """A load report with the number of permits live when it was made.
 
     Attributes:
-        at: Owner clock at which the report was taken.
-        load: Load in the report, at least `own`.
-        own: Permits of this owner that were live then.
-        reported: Load in the report.
+        at: Time of the report, by the owner's clock.
+        load: Reported load, but at least `own`.
+        own: Permits of this owner that were live at that time.
+        reported: Reported load.
     """
 
     at: float
@@ -51,15 +54,16 @@
 
     @property
     def foreign(self) -> int:
-        """Load that came from elsewhere: other owners, degraded entries."""
+        """Load from other owners and from entry routers in degraded mode."""
         return self.load - self.own
 
 
 class PermitTable:
-    """Live permits by upstream and entry.
+    """Live permits by upstream and entry router.
 
-    The load of an upstream is the permits that are live now, plus what its
-    last report shows above the permits that were live when it was taken.
+    The load of an upstream is the number of permits that are live now, plus
+    the excess of its last reported load over the permits that were live when
+    the report was made.
     """
 
     def __init__(self) -> None:
@@ -71,14 +75,14 @@
         self.released: dict[str, collections.deque[tuple[float, float]]] = (
             collections.defaultdict(collections.deque)
         )
-        self.seen: dict[str, Seen] = {}
+        self.reports: dict[str, MatchedReport] = {}
 
     def get(self, entry: str, number: int) -> LivePermit | None:
-        """Returns the live permit of that number, if there is one."""
+        """Returns the live permit with a number, None if there is none."""
         return self.permits.get((entry, number))
 
     def add(self, permit: LivePermit) -> None:
-        """Adds a live permit."""
+        """Adds a live permit, unless it is already present."""
         key = (permit.entry, permit.number)
         if key in self.permits:
             return
@@ -87,19 +91,22 @@
         self.live[permit.upstream][key] = permit
 
     def remove(self, entry: str, number: int, now: float) -> LivePermit | None:
-        """Removes a permit; returns it, None if it is not live."""
+        """Removes a permit and returns it; returns None if it is not live.
+
+        The permit still counts for reports made before its release.
+        """
         permit = self.permits.get((entry, number))
         if permit is None:
             return None
         self.discard(permit)
         released = self.released[permit.upstream]
         released.append((permit.granted_at, now))
-        while released[0][1] < now - RELEASED_SECONDS:
+        while released[0][1] < now - RELEASED_RETENTION_SECONDS:
             released.popleft()
         return permit
 
     def discard(self, permit: LivePermit) -> None:
-        """Drops a permit that was not live any more at the last report."""
+        """Removes a permit that was no longer live at the last report."""
         key = (permit.entry, permit.number)
         del self.permits[key]
         del self.live[permit.upstream][key]
@@ -109,11 +116,11 @@
             del self.numbers[permit.entry]
 
     def count_before(self, entry: str, at: float) -> int:
-        """Returns how many of an entry's permits were granted before a time.
+        """Returns how many permits of an entry were granted before a time.
 
         Args:
-            entry: The entry.
-            at: Owner clock.
+            entry: The entry router.
+            at: The time, by the owner's clock.
         """
         return sum(
             self.permits[entry, number].granted_at < at
@@ -121,11 +128,11 @@
         )
 
     def running_at(self, upstream: str, at: float) -> list[LivePermit]:
-        """Returns live permits whose requests had reached an upstream then.
+        """Returns the live permits whose requests had reached an upstream.
 
         Args:
             upstream: VM id.
-            at: Owner clock.
+            at: Time by which they had reached it, by the owner's clock.
         """
         before = at - REPORT_SLACK_SECONDS
         return [
@@ -135,17 +142,17 @@
         ]
 
     def digest(self, entry: str) -> tuple[int, int]:
-        """Returns the number of an entry's permits and their digest."""
+        """Returns the count and the digest of an entry router's permits."""
         numbers = self.numbers.get(entry, ())
         return len(numbers), digest(numbers)
 
     def join(self, upstream: str, at: float, load: int) -> None:
-        """Joins the upstream's last report.
+        """Matches an upstream's last report with the permits live at its time.
 
         Args:
             upstream: VM id.
-            at: Owner clock at which the report was taken.
-            load: Load that it gives.
+            at: Time of the report, by the owner's clock.
+            load: Reported load.
         """
         own = 0
         after = at + REPORT_SLACK_SECONDS
@@ -154,31 +161,31 @@
             own += permit.granted_at <= after
         for granted_at, released_at in self.released[upstream]:
             own += granted_at <= after and released_at >= before
-        self.seen[upstream] = Seen(at, max(load, own), own, load)
+        self.reports[upstream] = MatchedReport(at, max(load, own), own, load)
 
-    def forget(self, upstream: str) -> None:
-        """Forgets the report of an upstream."""
-        self.seen.pop(upstream, None)
+    def remove_report(self, upstream: str) -> None:
+        """Removes the report of an upstream."""
+        self.reports.pop(upstream, None)
 
     def own(self, upstream: str) -> int:
         """Returns how many permits of the upstream are live."""
         return len(self.live[upstream])
 
     def load(self, upstream: str) -> int:
-        """Returns the load of the upstream as far as it is known."""
-        seen = self.seen.get(upstream)
-        foreign = seen.foreign if seen is not None else 0
+        """Returns the load of the upstream, estimated from its last report."""
+        report = self.reports.get(upstream)
+        foreign = report.foreign if report is not None else 0
         return len(self.live[upstream]) + foreign
 
     def growth(self, upstream: str) -> int:
-        """Returns the permits added since the last report, net."""
-        seen = self.seen.get(upstream)
-        own = seen.own if seen is not None else 0
+        """Returns the net number of permits added since the last report."""
+        report = self.reports.get(upstream)
+        own = report.own if report is not None else 0
         return len(self.live[upstream]) - own
 
 
 def digest(numbers: set[int] | tuple[int, ...]) -> int:
-    """Returns the exclusive or of the numbers."""
+    """Returns the digest of permit numbers: their exclusive or."""
     value = 0
     for number in numbers:
         value ^= number
--- a/lavenderbend/state/placements.py
+++ b/lavenderbend/state/placements.py
@@ -1,4 +1,4 @@
-"""Where the contexts of chats were last, in a bounded table."""
+"""Bounded table of the engines that hold the contexts of chats."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 import attrs
 
-PLACES = 2
+PLACES_PER_CHAT = 2
 DEFAULT_CAPACITY = 50_000
 
 
 @attrs.frozen
 class Place:
-    """An engine that ran a chat's last or last but one turn.
+    """An engine that ran one of the last two turns of a chat.
 
     Attributes:
         upstream: VM id.
-        instance: Short id of the instance of its process then.
+        instance: Short id of the process instance that ran the turn.
     """
 
     upstream: str
@@ -29,8 +29,8 @@
     """The last turn of a chat.
 
     Attributes:
-        tokens: Its prompt tokens.
-        at: Owner clock.
+        tokens: Number of its prompt tokens.
+        at: Time of the turn, by the owner's clock.
     """
 
     tokens: int
@@ -38,14 +38,16 @@
 
 
 class Placements:
-    """Chat to its last places, the latest first; the oldest chat goes.
+    """The last places of each chat, the latest first.
+
+    When the table is full, the least recently used chat is evicted.
 
     Attributes:
-        capacity: Most chats that are kept.
-        chats: The places, the chat that was used last at the end.
-        unsent: Chats whose latest place the standby does not know.
-        fresh: Chats placed here since this router became the owner.
-        uses: Size and time of the last turn of chats placed here.
+        capacity: Maximum number of chats.
+        chats: Places by chat, the most recently used chat last.
+        unsent: Chats whose latest place was not sent to the standby.
+        placed_here: Chats placed by this router since it became the owner.
+        uses: Size and time of the last turn of chats placed by this router.
     """
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
@@ -54,7 +56,7 @@
             collections.OrderedDict()
         )
         self.unsent: dict[int, None] = {}
-        self.fresh: set[int] = set()
+        self.placed_here: set[int] = set()
         self.uses: dict[int, Use] = {}
 
     def get(self, chat: int) -> tuple[Place, ...]:
@@ -62,42 +64,56 @@
         return self.chats.get(chat, ())
 
     def put(self, chat: int, place: Place, use: Use | None = None) -> None:
-        """Notes the latest place of a chat."""
-        self.fresh.add(chat)
+        """Records the latest place of a chat, chosen by this router."""
+        self.placed_here.add(chat)
         if use is not None:
             self.uses[chat] = use
-        known = self.chats.get(chat, ())
-        if not known or known[0] != place:
+        places = self.chats.get(chat, ())
+        if not places or places[0] != place:
             self.unsent[chat] = None
-        self.keep(chat, place, known)
-
-    def keep(self, chat: int, place: Place, known: tuple[Place, ...]) -> None:
-        """Puts a place before the known ones and the chat at the end."""
-        others = [other for other in known if other.upstream != place.upstream]
-        self.chats[chat] = (place, *others[: PLACES - 1])
+        self.store(chat, place, places)
+
+    def store(
+        self, chat: int, place: Place, previous: tuple[Place, ...]
+    ) -> None:
+        """Stores a place ahead of the previous places of a chat.
+
+        The chat becomes the most recently used one.
+        """
+        others = [
+            other for other in previous if other.upstream != place.upstream
+        ]
+        self.chats[chat] = (place, *others[: PLACES_PER_CHAT - 1])
         self.chats.move_to_end(chat)
         if len(self.chats) > self.capacity:
-            gone, _ = self.chats.popitem(last=False)
-            self.unsent.pop(gone, None)
-            self.fresh.discard(gone)
-            self.uses.pop(gone, None)
+            evicted, _ = self.chats.popitem(last=False)
+            self.unsent.pop(evicted, None)
+            self.placed_here.discard(evicted)
+            self.uses.pop(evicted, None)
 
-    def learn(self, chat: int, place: Place) -> None:
-        """Notes a place from another owner, unless this one has newer."""
-        if chat not in self.fresh:
-            self.keep(chat, place, self.chats.get(chat, ()))
+    def merge(self, chat: int, place: Place) -> None:
+        """Stores a place received from another owner.
+
+        It is ignored if this router has placed the chat itself since it
+        became the owner.
+        """
+        if chat not in self.placed_here:
+            self.store(chat, place, self.chats.get(chat, ()))
 
     def resend(self) -> None:
-        """Marks all chats as unknown to the standby, the latest first."""
+        """Marks all chats as unsent, the most recently used first."""
         self.unsent = dict.fromkeys(reversed(self.chats))
 
     def next_unsent(self, count: int) -> list[tuple[int, Place]]:
-        """Returns up to so many chats that the standby lacks."""
+        """Returns up to `count` unsent chats with their latest places."""
         chats = itertools.islice(self.unsent, count)
         return [(chat, self.chats[chat][0]) for chat in chats]
 
     def note_sent(self, rows: list[tuple[int, Place]]) -> None:
-        """Notes what the standby has; a chat that moved since is lacking."""
+        """Marks places as sent to the standby.
+
+        A chat whose latest place has changed since stays unsent.
+        """
         for chat, place in rows:
             if self.chats.get(chat, (None,))[0] == place:
                 self.unsent.pop(chat, None)
@@ -105,8 +121,8 @@
     def __len__(self) -> int:
         return len(self.chats)
 
-    def at(self, place: Place) -> dict[int, Use]:
-        """Returns the chats whose context is at a place, with their uses."""
+    def chats_at(self, place: Place) -> dict[int, Use]:
+        """Returns the last turns of the chats whose latest place is given."""
         return {
             chat: self.uses[chat]
             for chat, places in self.chats.items()
--- a/tests/test_coordination/test_placement.py
+++ b/tests/test_coordination/test_placement.py
@@ -93,6 +93,6 @@
 def test_replicated_place_does_not_replace_a_newer_one():
     table = placements.Placements()
     table.put(1, placements.Place('engine-0', 1))
-    table.learn(1, placements.Place('engine-1', 1))
+    table.merge(1, placements.Place('engine-1', 1))
 
     assert table.get(1)[0].upstream == 'engine-0'
