--- a/lavenderbend/state/forwarding.py
+++ b/lavenderbend/state/forwarding.py
@@ -1,15 +1,19 @@
-"""What a router that forwards any HTTP request knows and decides by."""
+"""Configuration and store contents used by forwarding routers.
+
+A forwarding router accepts any HTTP request and forwards it to an upstream
+of one of its services.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Mapping  # noqa: TC003 - attrs reads it
+from collections.abc import Mapping  # noqa: TC003 - attrs evaluates it
 from typing import TYPE_CHECKING
 
 import attrs
 
-from lavenderbend.state import configuration  # noqa: TC001 - attrs reads it
+from lavenderbend.state import configuration  # noqa: TC001 - attrs evaluates it
 from lavenderbend.state import hashing
-from lavenderbend.state import upstreams  # noqa: TC001 - attrs reads it
+from lavenderbend.state import upstreams  # noqa: TC001 - attrs evaluates it
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -17,11 +21,11 @@
 
 @attrs.frozen
 class PoolShare:
-    """A part of a rule's requests that goes to one pool.
+    """Share of a rule's requests that is sent to one pool.
 
     Attributes:
         pool: Name of the pool.
-        weight: Its part, against the weights of the rule's other pools.
+        weight: Weight of the pool, relative to the rule's other pools.
     """
 
     pool: str
@@ -33,17 +37,17 @@
     """How a request is forwarded when its rule is the first that matches.
 
     Attributes:
-        pools: Where the requests go, by weight.
-        timeout: Seconds from arrival to the final answer.
-        attempts: Upstreams that one request may be sent to.
-        idempotent: Whether a run may be repeated.
+        pools: Pools that the requests are sent to, by weight.
+        timeout: Maximum time from arrival to the final answer, in seconds.
+        attempts: Maximum number of upstreams that a request is sent to.
+        idempotent: Whether a request may be run more than once.
         streaming: Whether the answer is a stream of numbered events.
         resumable: Whether a stream may be continued by another upstream.
         public: Whether callers need no credential.
-        target: Seconds within which an answer, or its first event, is
-            wanted.
-        max_gap: Longest wanted pause between events, in seconds.
-        rank: Urgency told to upstreams, 0 is the most urgent.
+        target: Target time to the answer, or to its first event, in
+            seconds.
+        max_gap: Target for the longest pause between events, in seconds.
+        rank: Urgency sent to upstreams; 0 is the most urgent.
     """
 
     pools: tuple[PoolShare, ...]
@@ -59,13 +63,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be retried although it may have run."""
         return self.resumable if self.streaming else self.idempotent
 
 
 @attrs.frozen
 class ForwardRule:
-    """One when-then rule of a forwarding router.
+    """A rule of a forwarding router: conditions and an action.
 
     Attributes:
         name: Unique within the table.
@@ -85,8 +89,8 @@
     Attributes:
         name: Unique within the table.
         credentials: The bearer tokens, as callers send them.
-        rank: Urgency of its requests, in place of the rule's; None to
-            leave the rule's.
+        rank: Urgency of its requests, which overrides that of the rule;
+            None to use the rule's.
     """
 
     name: str
@@ -99,9 +103,9 @@
     """The upstreams of one service.
 
     Attributes:
-        name: The service.
-        max_connections: Connections that one upstream accepts from the
-            whole fleet.
+        name: Name of the service.
+        max_connections: Maximum number of connections that one upstream
+            accepts from the whole fleet.
     """
 
     name: str
@@ -110,13 +114,14 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-        header_bytes: Request line and headers together.
-        body_bytes: Body of a request.
-        header_seconds: Time for a request's headers to arrive.
-        idle_seconds: Time a connection may stay open without a request.
+        header_bytes: Maximum size of the request line and headers together.
+        body_bytes: Maximum size of a request body.
+        header_seconds: Maximum time for the headers of a request to arrive.
+        idle_seconds: Maximum time a connection may stay open without a
+            request.
     """
 
     header_bytes: int = 16 * 1024
@@ -130,11 +135,11 @@
     """One accepted version of the operators' configuration.
 
     Attributes:
-        version: Grows with each accepted change.
-        rules: In order; the first match counts.
-        pools: In any order.
-        customers: In any order.
-        limits: Limits of callers.
+        version: Increases with each accepted change.
+        rules: Rules in order; the first one that matches applies.
+        pools: Pools, in any order.
+        customers: Customers, in any order.
+        limits: Limits on callers' requests.
     """
 
     version: int
@@ -146,15 +151,16 @@
 
 @attrs.frozen
 class Upstream:
-    """One process of a service, as the platform's store lists it.
+    """A process of a service, as listed in the platform's store.
 
     Attributes:
-        instance: Names this start of the process, unique for ever: what is
-            believed of an earlier start under the same id does not hold for
-            a later one.
-        vm: Its id, address, zone, service and whether it is leaving.
-        slots: Requests that it runs at once.
-        revision: Revision of its entry's last change.
+        instance: Id of this start of the process, never used again. State
+            recorded for an earlier start with the same VM id does not apply
+            to a later one.
+        vm: Its id, address, availability zone, service and whether it is
+            leaving.
+        slots: Number of requests that it runs concurrently.
+        revision: Store revision at which its entry was last changed.
     """
 
     instance: str
@@ -165,11 +171,11 @@
 
 @attrs.frozen
 class RawItem:
-    """One key of the store.
+    """An undecoded item of the store.
 
     Attributes:
-        revision: Revision of its last change.
-        value: As it was written; only the adapter reads it.
+        revision: Store revision at which it was last changed.
+        value: The value as written; only the store adapter decodes it.
     """
 
     revision: int
@@ -177,20 +183,21 @@
 
 
 def item_digest(key: str, item: RawItem) -> int:
-    """Returns the part of one item in the digest of a snapshot."""
+    """Returns the contribution of one item to the digest of a snapshot."""
     return hashing.hash64(f'{key} {item.revision}')
 
 
 @attrs.frozen
 class RawSnapshot:
-    """What the store held at one revision.
+    """Undecoded contents of the store at one revision.
 
     Attributes:
         revision: The store's revision.
-        items: By key.
-        digest: Equal for equal contents, whatever the revision. Parts of
-            items are joined so that a change costs as much as what changed:
-            of thousands of entries a few change each second.
+        items: Items by key.
+        digest: Exclusive or of the items' digests, equal for equal contents
+            regardless of the revision. The cost of updating it depends only
+            on the number of changed items: of thousands of entries, a few
+            change each second.
     """
 
     revision: int
@@ -211,12 +218,12 @@
         changed: Mapping[str, RawItem],
         removed: Iterable[str],
     ) -> RawSnapshot:
-        """Returns what the store held at a later revision.
+        """Returns the contents of the store at a later revision.
 
         Args:
-            revision: That revision.
-            changed: The items that are new or changed.
-            removed: Keys that are no more, if they ever were.
+            revision: The later revision.
+            changed: New and changed items by key.
+            removed: Removed keys; they may be absent from this snapshot.
         """
         items = dict(self.items)
         digest = self.digest
@@ -234,9 +241,9 @@
     """A change of one key of the store.
 
     Attributes:
-        revision: The store's revision that it made.
+        revision: Store revision that the change created.
         key: The key.
-        item: What was written, None if the key was removed.
+        item: The new item, None if the key was removed.
     """
 
     revision: int
@@ -246,25 +253,30 @@
 
 @attrs.frozen
 class Changes:
-    """Changes of the store after a revision, as far as they were heard.
+    """Changes of the store after a revision, as far as they were received.
 
     Attributes:
-        since: That revision.
-        entries: In the order of their revisions.
+        since: The revision after which the changes were made.
+        entries: Changes by ascending revision.
     """
 
     since: int
     entries: tuple[Change, ...]
 
     def complete_to(self, revision: int) -> bool:
-        """Returns whether there is a change for each revision up to one."""
-        heard = {change.revision for change in self.entries}
-        return heard.issuperset(range(self.since + 1, revision + 1))
+        """Returns whether all revisions up to the given one are present."""
+        revisions = {change.revision for change in self.entries}
+        return revisions.issuperset(range(self.since + 1, revision + 1))
+
+    def applied_to(self, base: RawSnapshot, revision: int) -> RawSnapshot:
+        """Returns the contents of the store at a revision.
 
-    def applied_to(self, known: RawSnapshot, revision: int) -> RawSnapshot:
-        """Returns what the store held at a revision that they lead to.
+        Changes after that revision are ignored because others may be missing
+        between them.
 
-        Later changes are left out: there may be others between them.
+        Args:
+            base: Contents of the store at revision `since`.
+            revision: The revision; changes must be complete up to it.
         """
         last = {
             change.key: change.item
@@ -273,19 +285,19 @@
         }
         changed = {key: item for key, item in last.items() if item is not None}
         removed = [key for key, item in last.items() if item is None]
-        return known.with_changes(revision, changed, removed)
+        return base.with_changes(revision, changed, removed)
 
 
 @attrs.frozen
 class Snapshot:
-    """Configuration and upstreams as of one revision of the store.
+    """Configuration and upstreams at one revision of the store.
 
     Attributes:
         revision: The store's revision.
-        digest: Equal for equal contents, whatever the revision.
-        table: The configuration, None before the first is accepted.
-        upstreams: By instance.
-        raw: What it was decoded from, for peers that lack it.
+        digest: Equal for equal contents regardless of the revision.
+        table: The configuration, None until the first one is accepted.
+        upstreams: Upstreams by instance.
+        raw: The undecoded contents, sent to peers that do not have them.
     """
 
     revision: int
--- a/lavenderbend/state/orders.py
+++ b/lavenderbend/state/orders.py
@@ -1,4 +1,8 @@
-"""What engines are ordered to serve, and the next steps towards it."""
+"""Planning of orders that tell engines which model to serve.
+
+A rollout changes the engines of a pool step by step until the desired number
+of engines serves each target.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +17,12 @@
 
 @attrs.frozen
 class Target:
-    """What one engine is to serve.
+    """What an engine is ordered to serve.
 
     Attributes:
-        model: The model.
+        model: Name of the model.
         version: Version of its weights.
-        adapters: Adapters loaded beside it.
+        adapters: Adapters loaded in addition to the model.
         role: Role of the engine.
     """
 
@@ -33,8 +37,8 @@
     """An order to one engine.
 
     Attributes:
-        fencing: Fencing number of the lease it is sent under.
-        target: What the engine is to serve.
+        fencing: Fencing token of the lease under which it is sent.
+        target: What the engine has to serve.
     """
 
     fencing: int
@@ -43,12 +47,12 @@
 
 @attrs.frozen
 class EngineState:
-    """What an engine says of itself when it is read back.
+    """State reported by an engine.
 
     Attributes:
-        fencing: Highest fencing number it has seen.
-        target: What it serves.
-        healthy: Whether it serves it.
+        fencing: Highest fencing token that the engine has received.
+        target: Target that it is set to serve.
+        healthy: Whether it is serving the target.
     """
 
     fencing: int
@@ -58,12 +62,12 @@
 
 @attrs.frozen
 class Wanted:
-    """How many engines are to serve a target.
+    """Number of engines that should serve a target.
 
     Attributes:
         target: The target.
-        replicas: How many.
-        frozen: Engines that serve the model are left as they are.
+        replicas: Number of engines.
+        frozen: Whether engines that serve the model must not be changed.
     """
 
     target: Target
@@ -73,11 +77,11 @@
 
 @attrs.frozen
 class Step:
-    """An order to be sent next.
+    """An order that may be sent now.
 
     Attributes:
         upstream: VM id of the engine.
-        target: What it is to serve.
+        target: What the engine has to serve.
     """
 
     upstream: str
@@ -86,13 +90,15 @@
 
 @attrs.frozen
 class Situation:
-    """What the next steps depend on.
+    """State of the engines that the plan depends on.
 
     Attributes:
-        states: Engines that could be read, by VM id.
-        busy: Engines that are carrying out an order, with their target.
-        proven: Targets that an engine has served well for some time.
-        unavailable: Share of a model's engines that may be down at once.
+        states: States of the engines that could be read, by VM id.
+        busy: Targets of the engines that are executing an order, by VM id.
+        proven: Targets that an engine has served without failure for some
+            time.
+        unavailable: Fraction of a model's engines that may be unavailable
+            at the same time.
     """
 
     states: Mapping[str, EngineState]
@@ -102,147 +108,169 @@
 
 
 @attrs.define
-class Share:
-    """Engines that serve one wanted model.
+class ModelEngines:
+    """Engines assigned to one desired model.
 
     Attributes:
-        wanted: What is wanted.
-        right: Engines at the target.
-        wrong: Engines of the same model that are not.
-        coming: Engines that are being ordered to the target.
+        desired: Target and number of replicas.
+        current: Healthy engines that serve the target.
+        outdated: Engines of the model that serve another target or are not
+            healthy.
+        pending: Engines that are executing an order for the target.
     """
 
-    wanted: Wanted
-    right: list[str] = attrs.field(factory=list)
-    wrong: list[str] = attrs.field(factory=list)
-    coming: list[str] = attrs.field(factory=list)
+    desired: Wanted
+    current: list[str] = attrs.field(factory=list)
+    outdated: list[str] = attrs.field(factory=list)
+    pending: list[str] = attrs.field(factory=list)
 
 
-def plan(wanted: tuple[Wanted, ...], situation: Situation) -> tuple[Step, ...]:
+def plan(desired: tuple[Wanted, ...], situation: Situation) -> tuple[Step, ...]:
     """Returns the orders that may be sent now, most urgent first.
 
-    An engine that nobody needs is loaded before one that serves is taken
-    down. A target that no engine has served well gets one engine first.
+    Spare engines are loaded before a serving engine is taken out of service.
+    A target that is not proven is first loaded on a single engine.
     """
-    shares, spare = divide(wanted, situation)
+    groups, spare = assign_engines(desired, situation)
     steps: list[Step] = []
-    for share in shares:
-        if share.wanted.frozen:
+    for group in groups:
+        if group.desired.frozen:
             continue
-        steps += share_steps(share, spare, situation)
-    # one that nobody needs must not go on serving an old version
+        steps += group_steps(group, spare, situation)
+    # A spare engine must not continue to serve an old version.
     for engine in spare:
         target = situation.states[engine].target
-        share = share_of(shares, target.model)
-        if share is None or target == share.wanted.target:
+        group = find_group(groups, target.model)
+        if group is None or target == group.desired.target:
             continue
-        if at_target(share, situation):
-            steps.append(Step(engine, share.wanted.target))
+        if is_rolled_out(group, situation):
+            steps.append(Step(engine, group.desired.target))
     return tuple(steps)
 
 
-def at_target(share: Share, situation: Situation) -> bool:
-    """Returns whether the target is proven and all its engines serve it."""
-    if share.wanted.frozen or share.wanted.target not in situation.proven:
+def is_rolled_out(group: ModelEngines, situation: Situation) -> bool:
+    """Returns whether the target is proven and has all its replicas."""
+    if group.desired.frozen or group.desired.target not in situation.proven:
         return False
-    return len(share.right) >= share.wanted.replicas
+    return len(group.current) >= group.desired.replicas
+
 
+def assign_engines(
+    desired: tuple[Wanted, ...], situation: Situation
+) -> tuple[list[ModelEngines], list[str]]:
+    """Assigns engines to the desired models.
 
-def divide(
-    wanted: tuple[Wanted, ...], situation: Situation
-) -> tuple[list[Share], list[str]]:
-    """Returns which engines serve what is wanted, and the spare ones."""
-    shares = [Share(item) for item in wanted]
+    Returns:
+        The engines of each desired model, and the spare engines.
+    """
+    groups = [ModelEngines(replicas) for replicas in desired]
     spare = []
     for engine, state in sorted(situation.states.items()):
-        serving = situation.busy.get(engine, state.target)
-        share = share_of(shares, serving.model)
-        if share is None:
+        target = situation.busy.get(engine, state.target)
+        group = find_group(groups, target.model)
+        if group is None:
             if engine not in situation.busy:
                 spare.append(engine)
         elif engine in situation.busy:
-            side = share.coming
-            if serving != share.wanted.target:
-                side = share.wrong
-            side.append(engine)
-        elif state.target == share.wanted.target and state.healthy:
-            share.right.append(engine)
+            members = group.pending
+            if target != group.desired.target:
+                members = group.outdated
+            members.append(engine)
+        elif state.target == group.desired.target and state.healthy:
+            group.current.append(engine)
         else:
-            share.wrong.append(engine)
-    for share in shares:
-        if not share.wanted.frozen:
-            spare += surplus(share, situation)
-    return shares, spare
-
-
-def share_of(shares: list[Share], model: str) -> Share | None:
-    """Returns the share of a model, if it is wanted."""
-    for share in shares:
-        if share.wanted.target.model == model:
-            return share
+            group.outdated.append(engine)
+    for group in groups:
+        if not group.desired.frozen:
+            spare += remove_surplus(group, situation)
+    return groups, spare
+
+
+def find_group(groups: list[ModelEngines], model: str) -> ModelEngines | None:
+    """Returns the engines of a model, None if the model is not desired."""
+    for group in groups:
+        if group.desired.target.model == model:
+            return group
     return None
 
 
-def surplus(share: Share, situation: Situation) -> list[str]:
-    """Takes the engines out of a share that it can do without."""
-    have = len(share.right) + len(share.coming) + len(share.wrong)
-    found = []
-    idle = [e for e in share.wrong if e not in situation.busy]
-    while have > share.wanted.replicas and idle:
-        # one that is not healthy first: nothing is lost with it
+def remove_surplus(group: ModelEngines, situation: Situation) -> list[str]:
+    """Removes the engines that a model does not need.
+
+    Returns:
+        The removed engines.
+    """
+    total = len(group.current) + len(group.pending) + len(group.outdated)
+    removed = []
+    idle = [e for e in group.outdated if e not in situation.busy]
+    while total > group.desired.replicas and idle:
+        # Unhealthy engines first, as this does not reduce capacity.
         idle.sort(key=lambda engine: situation.states[engine].healthy)
         engine = idle.pop(0)
-        if serving(share, situation, without=engine) < least(
-            share.wanted, situation
+        if count_serving(group, situation, without=engine) < min_serving(
+            group.desired, situation
         ):
             break
-        share.wrong.remove(engine)
-        found.append(engine)
-        have -= 1
-    while len(share.right) > share.wanted.replicas:
-        found.append(share.right.pop())
-    return found
-
-
-def serving(share: Share, situation: Situation, without: str = '') -> int:
-    """Returns how many engines serve the model, at whatever version."""
+        group.outdated.remove(engine)
+        removed.append(engine)
+        total -= 1
+    while len(group.current) > group.desired.replicas:
+        removed.append(group.current.pop())
+    return removed
+
+
+def count_serving(
+    group: ModelEngines, situation: Situation, without: str = ''
+) -> int:
+    """Returns how many engines serve the model, in any version.
+
+    Args:
+        group: The engines of the model.
+        situation: State of the engines.
+        without: VM id of an engine that is not counted.
+    """
     return sum(
         situation.states[engine].healthy and engine not in situation.busy
-        for engine in [*share.right, *share.wrong]
+        for engine in [*group.current, *group.outdated]
         if engine != without
     )
 
 
-def least(wanted: Wanted, situation: Situation) -> int:
-    """Returns how many engines of a model must go on serving.
+def min_serving(desired: Wanted, situation: Situation) -> int:
+    """Returns how many engines of a model must continue to serve.
 
-    A model with one replica and no spare engine cannot be changed without
-    a gap.
+    This is 0 for a model with one replica: without a spare engine it cannot
+    be changed without an interruption.
     """
-    down = max(1, int(wanted.replicas * situation.unavailable))
-    return max(0, wanted.replicas - down)
+    max_down = max(1, int(desired.replicas * situation.unavailable))
+    return max(0, desired.replicas - max_down)
 
 
-def share_steps(
-    share: Share, spare: list[str], situation: Situation
+def group_steps(
+    group: ModelEngines, spare: list[str], situation: Situation
 ) -> list[Step]:
-    """Returns the steps of one share; takes engines from the spare ones."""
-    target = share.wanted.target
-    room = share.wanted.replicas - len(share.right) - len(share.coming)
+    """Returns the steps for one model.
+
+    Spare engines that are used are removed from `spare`.
+    """
+    target = group.desired.target
+    missing = group.desired.replicas - len(group.current) - len(group.pending)
     if target not in situation.proven:
-        # a bad version must be seen on one engine, not on all of them
-        room = min(room, 1 - len(share.right) - len(share.coming))
+        # A faulty version must fail on one engine, not on all of them.
+        missing = min(missing, 1 - len(group.current) - len(group.pending))
     steps = []
-    while room > 0 and spare:
+    while missing > 0 and spare:
         steps.append(Step(spare.pop(0), target))
-        room -= 1
-    idle = [e for e in share.wrong if e not in situation.busy]
+        missing -= 1
+    idle = [e for e in group.outdated if e not in situation.busy]
     idle.sort(key=lambda engine: situation.states[engine].healthy)
-    up = serving(share, situation)
-    for engine in idle[: max(0, room)]:
+    serving_count = count_serving(group, situation)
+    for engine in idle[: max(0, missing)]:
         healthy = situation.states[engine].healthy
-        if healthy and up - 1 < least(share.wanted, situation):
+        if healthy and serving_count - 1 < min_serving(
+            group.desired, situation
+        ):
             break
-        up -= healthy
+        serving_count -= healthy
         steps.append(Step(engine, target))
     return steps
