--- a/lavenderbend/state/documents.py
+++ b/lavenderbend/state/documents.py
@@ -142,7 +142,7 @@
         pairs = zip(SECTIONS, values, strict=True)
         return Document({name: tuple(items) for name, items in pairs})
     except (ValueError, TypeError, zlib.error) as exc:
-        raise errors.CodecError(f'no document: {exc!r}') from exc
+        raise errors.CodecError(f'not a valid document: {exc!r}') from exc
 
 
 def delta(old: Document, new: Document) -> tuple[Splice, ...]:
--- a/lavenderbend/state/permits.py
+++ b/lavenderbend/state/permits.py
@@ -93,7 +93,7 @@
     def remove(self, entry: str, number: int, now: float) -> LivePermit | None:
         """Removes a permit and returns it; returns None if it is not live.
 
-        The permit still counts for reports made before its release.
+        It is still counted by `join` for reports made before its release.
         """
         permit = self.permits.get((entry, number))
         if permit is None:
