--- a/lavenderbend/coordination/orders/pools.py
+++ b/lavenderbend/coordination/orders/pools.py
@@ -138,7 +138,7 @@
             return {}
         return {vm.id: vm for vm in self.membership.upstreams(pool.service)}
 
-    def configured_targets(self) -> tuple[orders.Wanted, ...]:
+    def configured_targets(self) -> tuple[orders.DesiredReplicas, ...]:
         """Returns the configured targets of the pool's models.
 
         A bad target is replaced by the last good one of its model; without a
@@ -155,9 +155,11 @@
             bad = self.records.bad.get(order.model) == target
             good = self.records.good.get(order.model)
             if bad and good is not None:
-                configured.append(orders.Wanted(good, order.replicas))
+                configured.append(orders.DesiredReplicas(good, order.replicas))
             else:
-                configured.append(orders.Wanted(target, order.replicas, bad))
+                configured.append(
+                    orders.DesiredReplicas(target, order.replicas, bad)
+                )
         return tuple(configured)
 
     async def announce_fencing(self) -> None:
@@ -208,7 +210,7 @@
         for configured in self.configured_targets():
             self.update_rollout(configured)
 
-    def update_rollout(self, configured: orders.Wanted) -> None:
+    def update_rollout(self, configured: orders.DesiredReplicas) -> None:
         """Records whether a target is served, and whether by all replicas."""
         serving = [
             engine
@@ -246,7 +248,7 @@
 
     def start_due_orders(self, nursery: trio.Nursery) -> None:
         """Starts the next orders, within the limits of the policy."""
-        situation = orders.Situation(
+        situation = orders.RolloutState(
             self.states,
             {engine: order.target for engine, order in self.pending.items()},
             self.proven,
--- a/lavenderbend/state/orders.py
+++ b/lavenderbend/state/orders.py
@@ -61,7 +61,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class DesiredReplicas:
     """Number of engines that should serve a target.
 
     Attributes:
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class Situation:
+class RolloutState:
     """State of the engines that the plan depends on.
 
     Attributes:
@@ -119,13 +119,15 @@
         pending: Engines that are executing an order for the target.
     """
 
-    desired: Wanted
+    desired: DesiredReplicas
     current: list[str] = attrs.field(factory=list)
     outdated: list[str] = attrs.field(factory=list)
     pending: list[str] = attrs.field(factory=list)
 
 
-def plan(desired: tuple[Wanted, ...], situation: Situation) -> tuple[Step, ...]:
+def plan(
+    desired: tuple[DesiredReplicas, ...], situation: RolloutState
+) -> tuple[Step, ...]:
     """Returns the orders that may be sent now, most urgent first.
 
     Spare engines are loaded before a serving engine is taken out of service.
@@ -148,7 +150,7 @@
     return tuple(steps)
 
 
-def is_rolled_out(group: ModelEngines, situation: Situation) -> bool:
+def is_rolled_out(group: ModelEngines, situation: RolloutState) -> bool:
     """Returns whether the target is proven and has all its replicas."""
     if group.desired.frozen or group.desired.target not in situation.proven:
         return False
@@ -156,7 +158,7 @@
 
 
 def assign_engines(
-    desired: tuple[Wanted, ...], situation: Situation
+    desired: tuple[DesiredReplicas, ...], situation: RolloutState
 ) -> tuple[list[ModelEngines], list[str]]:
     """Assigns engines to the desired models.
 
@@ -194,7 +196,7 @@
     return None
 
 
-def remove_surplus(group: ModelEngines, situation: Situation) -> list[str]:
+def remove_surplus(group: ModelEngines, situation: RolloutState) -> list[str]:
     """Removes the engines that a model does not need.
 
     Returns:
@@ -220,7 +222,7 @@
 
 
 def count_serving(
-    group: ModelEngines, situation: Situation, without: str = ''
+    group: ModelEngines, situation: RolloutState, without: str = ''
 ) -> int:
     """Returns how many engines serve the model, in any version.
 
@@ -236,7 +238,7 @@
     )
 
 
-def min_serving(desired: Wanted, situation: Situation) -> int:
+def min_serving(desired: DesiredReplicas, situation: RolloutState) -> int:
     """Returns how many engines of a model must continue to serve.
 
     This is 0 for a model with one replica: without a spare engine it cannot
@@ -247,7 +249,7 @@
 
 
 def group_steps(
-    group: ModelEngines, spare: list[str], situation: Situation
+    group: ModelEngines, spare: list[str], situation: RolloutState
 ) -> list[Step]:
     """Returns the steps for one model.
 
--- a/tests/test_coordination/test_agreed_orders.py
+++ b/tests/test_coordination/test_agreed_orders.py
@@ -24,7 +24,7 @@
 
 
 def situation(states, busy=None, proven=(OLD,)):
-    return orders.Situation(
+    return orders.RolloutState(
         {
             name: orders.EngineState(0, target, healthy)
             for name, (target, healthy) in states.items()
@@ -36,7 +36,7 @@
 
 def test_new_target_goes_to_one_engine_first():
     states = {f'e{n}': (OLD, True) for n in range(8)}
-    wanted = (orders.Wanted(NEW, 8),)
+    wanted = (orders.DesiredReplicas(NEW, 8),)
     assert len(orders.plan(wanted, situation(states))) == 1
     busy = {'e0': NEW}
     assert orders.plan(wanted, situation(states, busy)) == ()
@@ -46,7 +46,7 @@
     states = {f'e{n}': (OLD, True) for n in range(8)}
     states['e0'] = (NEW, True)
     steps = orders.plan(
-        (orders.Wanted(NEW, 8),), situation(states, proven=(OLD, NEW))
+        (orders.DesiredReplicas(NEW, 8),), situation(states, proven=(OLD, NEW))
     )
     assert [step.upstream for step in steps] == ['e1', 'e2']
 
@@ -56,20 +56,20 @@
     states['e0'] = (NEW, True)
     states['e7'] = (OLD, False)
     steps = orders.plan(
-        (orders.Wanted(NEW, 8),), situation(states, proven=(OLD, NEW))
+        (orders.DesiredReplicas(NEW, 8),), situation(states, proven=(OLD, NEW))
     )
     assert [step.upstream for step in steps] == ['e7', 'e1']
 
 
 def test_spare_engine_is_loaded_before_a_serving_one_is_taken_down():
     states = {'e0': (OLD, True), 'e1': (orders.Target('x', '1'), True)}
-    steps = orders.plan((orders.Wanted(NEW, 1),), situation(states))
+    steps = orders.plan((orders.DesiredReplicas(NEW, 1),), situation(states))
     assert steps == (orders.Step('e1', NEW),)
 
 
 def test_frozen_model_gets_no_orders():
     states = {'e0': (OLD, True), 'e1': (NEW, False)}
-    wanted = (orders.Wanted(NEW, 2, frozen=True),)
+    wanted = (orders.DesiredReplicas(NEW, 2, frozen=True),)
     assert orders.plan(wanted, situation(states)) == ()
 
 
