--- a/lavenderbend/coordination/configuration/log.py
+++ b/lavenderbend/coordination/configuration/log.py
@@ -14,7 +14,7 @@
 from lavenderbend.coordination.configuration import chain as configuration_chain
 from lavenderbend.protocol import records_configuration as records
 from lavenderbend.state import documents
-from lavenderbend.state import rule_sets
+from lavenderbend.state import validation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -309,7 +309,7 @@
 
 def check(document: configuration.Configuration) -> None:
     """Refuses a document that breaks its own terms."""
-    found = rule_sets.problems(document)
+    found = validation.configuration_problems(document)
     if not found:
         return
     lines = [
--- a/lavenderbend/protocol/documents_yaml.py
+++ b/lavenderbend/protocol/documents_yaml.py
@@ -16,8 +16,8 @@
 from lavenderbend.protocol import units
 from lavenderbend.protocol import yaml_nodes
 from lavenderbend.state import configuration
-from lavenderbend.state import rule_sets
 from lavenderbend.state import settings
+from lavenderbend.state import validation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -47,7 +47,7 @@
     """Returns the settings in a text; errors name the file as `name`."""
     document = yaml_nodes.parse(text, name)
     result = structure(document, settings.RouterSettings)
-    check(document, rule_sets.settings_problems(result))
+    check(document, validation.settings_problems(result))
     return result
 
 
@@ -62,7 +62,7 @@
     """
     document = yaml_nodes.parse(text, name)
     result = structure(document, configuration.Configuration)
-    check(document, rule_sets.problems(result))
+    check(document, validation.configuration_problems(result))
     return result
 
 
@@ -104,7 +104,7 @@
 
 
 def check(
-    document: yaml_nodes.Document, problems: list[rule_sets.Problem]
+    document: yaml_nodes.Document, problems: list[validation.Problem]
 ) -> None:
     """Checks that there are no problems.
 
--- a/lavenderbend/protocol/structuring.py
+++ b/lavenderbend/protocol/structuring.py
@@ -100,7 +100,9 @@
 }
 FIELD_BOUNDS: dict[tuple[type, str], settings.Bounds] = {
     (configuration.When, 'share'): settings.Bounds(0, 100),
-    (configuration.Then, 'timeout'): settings.Bounds(0.001, settings.DAY),
+    (configuration.Then, 'timeout'): settings.Bounds(
+        0.001, settings.DAY_SECONDS
+    ),
     (configuration.Then, 'retries'): settings.Bounds(0, 10),
     (configuration.Then, 'limit'): settings.Bounds(0, 1_000_000),
     (configuration.Pool, 'bound'): settings.Bounds(1, 100),
@@ -123,7 +125,7 @@
 
     def hook(value: Any, cls: Any) -> Any:
         result = inner(value, cls)
-        if not bounds.holds(result):
+        if not bounds.contains(result):
             raise units.Fault(
                 f'{units.describe(value)} is out of range', str(bounds)
             )
--- a/lavenderbend/state/configuration.py
+++ b/lavenderbend/state/configuration.py
@@ -1,4 +1,4 @@
-"""The accepted configuration: the same document on every router."""
+"""The configuration document, the same on every router."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 @attrs.frozen
 class When:
-    """Conditions of a rule; all that are given must hold.
+    """Conditions of a rule; all conditions that are given must match.
 
-    Texts are compared whole; a trailing `*` makes it a prefix. A tuple holds
-    when one of its members does; an empty tuple always holds.
+    A text must match completely; with a trailing `*` it matches as a prefix.
+    A tuple matches if one of its members does; an empty tuple always matches.
 
     Attributes:
         customer: Customer names.
         method: HTTP methods.
-        path: Paths without query.
-        header: Header name (lower case) to text.
+        path: Paths without the query string.
+        header: Texts by header name, in lower case.
         model: Models named in the body.
         adapter: Adapters named in the body.
         availability_zone: Zones of the entry router.
-        priority: Value of the header `x-priority`.
+        priority: Values of the header `x-priority`.
         share: Percentage of chats, chosen by a hash of the chat.
     """
 
@@ -40,19 +40,19 @@
 
 @attrs.frozen
 class Then:
-    """Where a matched request goes; either `pool` or `reject` is given.
+    """Action of a rule; exactly one of `pool` and `reject` is given.
 
     Attributes:
-        pool: Name of the pool.
-        reject: Reason shown to the caller instead of routing.
+        pool: Name of the pool that requests are sent to.
+        reject: Refuses requests, with this reason for the caller.
         model: Replaces the model in the body.
         adapter: Replaces the adapter in the body.
         priority: Priority of the request.
         timeout: Seconds from arrival to the deadline.
-        retries: Further attempts allowed for an idempotent request.
+        retries: Maximum number of retries of an idempotent request.
         idempotent: False for requests that may run at most once.
-        limit: Requests a second for each customer under this rule, 0 for
-            none.
+        limit: Requests per second of each customer under this rule, 0 for
+            no limit.
     """
 
     pool: str | None = None
@@ -68,12 +68,12 @@
 
 @attrs.frozen
 class Rule:
-    """One when-then rule.
+    """A rule with conditions and an action.
 
     Attributes:
         name: Unique within the configuration.
         when: The conditions.
-        then: What happens if this is the first rule that matches.
+        then: Action if this is the first rule that matches.
     """
 
     name: str
@@ -83,18 +83,22 @@
 
 @attrs.frozen
 class Pool:
-    """Upstreams of one service and how they are loaded.
+    """Upstreams of a service and the limits of their load.
 
     Attributes:
         name: Unique within the configuration.
-        service: Upstreams of this service (in the VM list) belong to it.
+        service: The pool consists of the upstreams of this service in the VM
+            list.
         kind: Engine or plain service.
-        bound: c; no engine is loaded above c times the mean load.
-        floor: Loads up to this are always allowed.
-        max_load: Hard limit of requests on one upstream; more wait.
-        max_waiting: Requests that may wait for the pool; more are refused.
-        groups: Parts of the pool that have owners of their own.
-        checks_fencing: Whether its engines refuse old fencing numbers.
+        bound: Factor c of bounded loads: no engine is loaded above c times
+            the mean load.
+        floor: Load that is always allowed, whatever the mean.
+        max_load: Maximum number of requests on one upstream; further ones
+            wait.
+        max_waiting: Maximum number of requests that wait for the pool;
+            further ones are refused.
+        groups: Number of groups of upstreams, each with its own owner.
+        checks_fencing: Whether its engines refuse outdated fencing tokens.
         exports_cache: Whether its engines export and import KV cache.
     """
 
@@ -116,10 +120,11 @@
 
     Attributes:
         name: Unique within the configuration.
-        credentials: `salt$sha256(salt + credential)` in hex, each.
-        weight: Share of a full pool against other customers.
-        requests_per_second: Fleet-wide limit, 0 for none.
-        burst: Requests above the rate that may come at once.
+        credentials: `salt$sha256(salt + credential)` in hex, for each
+            credential.
+        weight: Weight against other customers when a full pool is shared.
+        requests_per_second: Fleet-wide limit, 0 for no limit.
+        burst: Requests above the rate that are allowed at once.
     """
 
     name: str
@@ -135,10 +140,10 @@
 
     Attributes:
         pool: Name of the pool.
-        model: Model that `replicas` engines serve.
-        version: Version of its weights.
-        replicas: How many engines of each region serve it.
-        adapters: Adapters loaded beside it.
+        model: Model to serve.
+        version: Version of the model's weights.
+        replicas: Number of engines in each region that serve the model.
+        adapters: Adapters to load in addition to the model.
         role: Role of those engines.
     """
 
@@ -152,12 +157,12 @@
 
 @attrs.frozen
 class Configuration:
-    """The whole accepted document.
+    """The complete configuration document.
 
     Attributes:
-        rules: In order; the first match counts.
-        pools: In any order.
-        customers: In any order.
+        rules: Rules in order of precedence; the first match applies.
+        pools: Pools, in any order.
+        customers: Customers, in any order.
         orders: Desired state of engines.
     """
 
@@ -167,7 +172,7 @@
     orders: tuple[Order, ...] = ()
 
     def pool(self, name: str) -> Pool | None:
-        """Returns the pool of that name, if there is one."""
+        """Returns the pool with a name, or None if there is none."""
         for pool in self.pools:
             if pool.name == name:
                 return pool
@@ -182,8 +187,8 @@
         number: 1, 2, 3, ...; 0 before anything is accepted.
         digest: Hash of the document, equal on all routers.
         document: The configuration.
-        author: Who had it accepted.
-        reason: Why.
+        author: Name of whoever applied the configuration.
+        reason: Reason given for the change.
         accepted_at: Seconds since the epoch, by the operator's clock.
     """
 
--- a/lavenderbend/state/decisions.py
+++ b/lavenderbend/state/decisions.py
@@ -1,4 +1,4 @@
-"""Records of what was decided for a request and why."""
+"""Records of the routing decisions for requests and their reasons."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class PassedOver:
-    """A candidate that was not taken.
+    """A candidate that was not chosen.
 
     Attributes:
         upstream: VM id.
@@ -28,21 +28,22 @@
 
 @attrs.define
 class Attempt:
-    """One try at an upstream.
+    """An attempt to run a request on an upstream.
 
     Attributes:
         upstream: VM id.
-        owner: Router id that gave the permit; the entry itself if degraded.
+        owner: Id of the router that granted the permit; the entry router
+            itself if degraded.
         permit: Id of the permit.
-        reason: Why this upstream, such as `held chat` or `first choice`.
-        passed_over: Candidates that were not taken.
+        reason: Why this upstream was chosen, such as `held chat`.
+        passed_over: Candidates that were not chosen.
         waited: Seconds spent waiting for the permit.
-        started: Router clock when the request was sent.
+        started: Router clock (trio seconds) when the request was sent.
         first_byte: Seconds from `started` to the answer's first byte.
-        finished: Seconds from `started` to the end.
+        finished: Seconds from `started` to the end of the attempt.
         result: `complete`, or the name of the error type.
         copied_from: Upstream from which cached prompt parts were to be
-            copied, and why it may have them; empty for none.
+            copied, with the reason to expect them there; empty for none.
     """
 
     upstream: str
@@ -60,29 +61,30 @@
 
 @attrs.define
 class Decision:
-    """Everything decided for one request.
+    """All decisions made for a request.
 
     Attributes:
         id: Id of the decision; the request's id.
-        customer: The customer.
+        customer: Name of the customer.
         method: HTTP method.
         path: HTTP path.
         model: Model named by the caller.
         chat: Hash of customer and chat key, in hex.
-        revision: Configuration revision the rules came from.
+        revision: Number of the configuration revision of the rules.
         rule: Name of the first rule that matched.
-        pool: Pool it was sent to.
+        pool: Pool that the request was sent to.
         priority: Name of the priority.
-        attempts: In order.
-        outcome: Outcome value told to the caller.
-        error: Name of the error type told to the caller, if any.
-        detail: Text of that error.
-        at: Seconds since the epoch at arrival.
-        duration: Seconds from arrival to the end.
+        attempts: Attempts in order.
+        outcome: Outcome value sent to the caller.
+        error: Name of the error type sent to the caller, if any.
+        detail: Message of that error.
+        at: Time of arrival, in seconds since the epoch.
+        duration: Seconds from arrival to the end of the request.
         idempotency_key: The caller's key, if any.
         adapter: Adapter named by the caller.
         availability_zone: Zone of the entry router.
-        headers: Headers that rules may look at, by `rules.kept_headers`.
+        headers: Recorded headers that rules can match, bounded in number
+            and size.
     """
 
     id: str
@@ -108,7 +110,7 @@
 
 
 class DecisionStore:
-    """The latest decisions, bounded in number."""
+    """In-memory store of the latest decisions, bounded in number."""
 
     def __init__(self, capacity: int = DEFAULT_CAPACITY) -> None:
         self.capacity = capacity
@@ -117,13 +119,13 @@
         )
 
     def add(self, decision: Decision) -> None:
-        """Keeps the decision, forgetting the oldest when full."""
+        """Stores a decision; evicts the oldest if the store is full."""
         self.entries[decision.id] = decision
         while len(self.entries) > self.capacity:
             self.entries.popitem(last=False)
 
     def get(self, decision_id: str) -> Decision | None:
-        """Returns the decision, or None if forgotten or never known."""
+        """Returns a decision, or None if it is unknown or was evicted."""
         return self.entries.get(decision_id)
 
     def __iter__(self) -> Iterator[Decision]:
--- a/lavenderbend/state/forwarding_settings.py
+++ b/lavenderbend/state/forwarding_settings.py
@@ -13,19 +13,21 @@
 
     Attributes:
         request_id: Id of a request; upstreams echo it.
-        deadline: Milliseconds that the caller waits.
-        prompt_parts: Parts of the prompt as `ID:TOKENS`, by commas.
-        customer: Told to upstreams: the customer of the credential.
-        rank: Told to upstreams: urgency, 0 is the most urgent.
-        instance: Told to upstreams: the instance that is meant; any other
-            refuses.
-        signature: Set by upstreams on answers that are theirs.
+        deadline: Milliseconds that the caller waits for the answer.
+        prompt_parts: Parts of the prompt as `ID:TOKENS`, separated by
+            commas.
+        customer: Sent to upstreams: the customer of the credential.
+        rank: Sent to upstreams: priority, 0 is the most urgent.
+        instance: Sent to upstreams: the instance that the request is for;
+            any other instance refuses it.
+        signature: Set by upstreams to mark an answer as their own.
         not_run: Set by upstreams on answers to requests that did not run.
-        load: Set by upstreams: running, waiting and slots, by commas.
-        leaving: Set to 1 by upstreams that leave, on all their answers.
-        copy_from: Told to upstreams: the address of another upstream, from
-            which cached prompt parts are copied; empty if they cannot.
-        reserved: Headers of callers that are never passed on.
+        load: Set by upstreams: numbers of running requests, waiting
+            requests and slots, separated by commas.
+        leaving: Set to 1 on every answer of an upstream that is draining.
+        copy_from: Sent to upstreams: address of the upstream from which to
+            copy cached prompt parts; an empty name if upstreams cannot.
+        reserved: Headers that are never relayed from callers.
     """
 
     request_id: str = 'x-request-id'
@@ -44,12 +46,12 @@
 
 @attrs.frozen
 class ForwardListen:
-    """Where a forwarding router is reached, as `host:port`.
+    """Addresses that a forwarding router listens on, as `host:port`.
 
     Attributes:
-        callers: The address for callers.
-        readiness: The address at which the balancer asks for readiness.
-        peers: The address for other routers, over TCP and UDP.
+        callers: Address for callers.
+        readiness: Address of the load balancer's readiness check.
+        peers: Address for other routers, over TCP and UDP.
     """
 
     callers: str
@@ -59,23 +61,26 @@
 
 @attrs.frozen
 class ForwardingSettings:
-    """A router that forwards any HTTP request by the platform's rules.
+    """Settings for forwarding any HTTP request by the platform's rules.
 
     Attributes:
-        listen: Where it is reached.
-        readiness_path: Path at which the balancer asks for readiness.
-        peers: Addresses of some routers, `host:port`; others are learned
-            from them. Only the hosts count: all routers have the same peer
-            port.
+        listen: Addresses to listen on.
+        readiness_path: Path of the load balancer's readiness check.
+        peers: Addresses of some routers, `host:port`, from which the others
+            are discovered. Only the hosts are used: all routers have the
+            same peer port.
         headers: Names of the headers.
-        revocation_seconds: A credential that was taken away is not served
-            longer than this after it; 0 to serve by the version in force.
-        apply_seconds: An accepted version is in force after this.
-        leave_seconds: An upstream that leaves gets nothing after this.
-        repeat_share: Repeats allowed of the requests of a service.
-        repeat_extra: Repeats allowed beside them.
-        repeat_window_seconds: The time over which both are counted.
-        load_factor: No upstream is loaded above this multiple of the mean.
+        revocation_seconds: Longest time for which a revoked credential is
+            still served; 0 to serve by the version in force.
+        apply_seconds: Time after which an accepted version is in force.
+        leave_seconds: Time after which a draining upstream gets no more
+            requests.
+        repeat_share: Retries allowed, as a fraction of the requests of a
+            service.
+        repeat_extra: Retries allowed in addition to `repeat_share`.
+        repeat_window_seconds: Time window over which both are counted.
+        load_factor: No upstream is loaded above this multiple of the mean
+            load.
     """
 
     listen: ForwardListen
@@ -83,7 +88,7 @@
     peers: tuple[str, ...] = ()
     headers: ForwardHeaders = attrs.field(factory=ForwardHeaders)
     revocation_seconds: setting_fields.Seconds = setting_fields.bounded(
-        0.0, 0.0, setting_fields.DAY
+        0.0, 0.0, setting_fields.DAY_SECONDS
     )
     apply_seconds: setting_fields.Seconds = setting_fields.bounded(
         2.0, 0.1, 600.0
--- a/lavenderbend/state/requests.py
+++ b/lavenderbend/state/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request as the router sees it."""
+"""Requests of callers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Priority(enum.IntEnum):
-    """How urgent a request is; a smaller number goes first."""
+    """Priority of a request; a smaller number is served first."""
 
     INSTANT = 0
     HIGH = 1
@@ -22,23 +22,24 @@
 
 @attrs.frozen
 class Request:
-    """One request, read whole from its caller.
+    """A request that was read completely from its caller.
 
     Attributes:
         id: Unique for each request; upstreams echo it.
-        customer: From the credential, never from the body.
+        customer: Customer of the credential, never taken from the body.
         method: HTTP method.
         path: HTTP path with the query string.
-        headers: Names in lower case; credentials are taken out.
-        body: The bytes as they came.
+        headers: Names in lower case; credentials are removed.
+        body: The bytes as received.
         model: Model named in the body, if it is a model request.
         adapter: Adapter named in the body, if any.
-        chat_key: Stays the same from turn to turn of one chat; unique only
-            within the customer.
-        prompt_tokens: Estimated size of the prompt.
+        chat_key: The same for all turns of a chat; unique only within the
+            customer.
+        prompt_tokens: Estimated number of tokens of the prompt.
         stream: Whether the caller wants the answer as it is generated.
-        idempotency_key: The caller's key for at-most-once, if any.
-        availability_zone: Zone of the router that the request entered at.
+        idempotency_key: The caller's key for at-most-once execution, if
+            any.
+        availability_zone: Zone of the router that received the request.
         arrived: Router clock (trio seconds) at arrival.
     """
 
--- a/lavenderbend/state/setting_fields.py
+++ b/lavenderbend/state/setting_fields.py
@@ -1,4 +1,4 @@
-"""Units and bounds of the fields of settings."""
+"""Units and bounds for the fields of settings classes."""
 
 from __future__ import annotations
 
@@ -11,37 +11,37 @@
 ByteCount = NewType('ByteCount', int)
 
 MAX_PORT = 65535
-DAY = 86400.0
+DAY_SECONDS = 86400.0
 
 
 @attrs.frozen
 class Bounds:
-    """The values that a number may take.
+    """Inclusive range of a numeric setting.
 
     Attributes:
-        least: Smallest allowed.
-        most: Largest allowed, None for no bound.
+        minimum: Smallest allowed value.
+        maximum: Largest allowed value, None for no upper bound.
     """
 
-    least: float
-    most: float | None = None
+    minimum: float
+    maximum: float | None = None
 
     def __str__(self) -> str:
-        if self.most is None:
-            return f'at least {self.least:g}'
-        return f'{self.least:g} to {self.most:g}'
+        if self.maximum is None:
+            return f'at least {self.minimum:g}'
+        return f'{self.minimum:g} to {self.maximum:g}'
 
-    def holds(self, value: float) -> bool:
-        """Returns whether the value may be taken; never for NaN."""
-        if not value >= self.least:
+    def contains(self, value: float) -> bool:
+        """Returns whether the value is in the range; NaN never is."""
+        if not value >= self.minimum:
             return False
-        return self.most is None or value <= self.most
+        return self.maximum is None or value <= self.maximum
 
 
-def bounded(default: Any, least: float, most: float | None = None) -> Any:
-    """Returns an attrs field with a default and bounds."""
+def bounded(default: Any, minimum: float, maximum: float | None = None) -> Any:
+    """Returns an attrs field with a default and bounds as metadata."""
     return attrs.field(
-        default=default, metadata={'bounds': Bounds(least, most)}
+        default=default, metadata={'bounds': Bounds(minimum, maximum)}
     )
 
 
--- a/lavenderbend/state/settings.py
+++ b/lavenderbend/state/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one router process, read once at its start."""
+"""Settings of a router process, read once at startup."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 ByteCount = setting_fields.ByteCount
 Bounds = setting_fields.Bounds
 MAX_PORT = setting_fields.MAX_PORT
-DAY = setting_fields.DAY
+DAY_SECONDS = setting_fields.DAY_SECONDS
 bounded = setting_fields.bounded
 port = setting_fields.port
 
 
 class LinkKind(enum.Enum):
-    """How peers talk to each other."""
+    """Protocol between routers."""
 
     FRAMES = 'frames'
     GRPC = 'grpc'
 
 
 class CutOffPolicy(enum.Enum):
-    """What a router does with requests while its revision may be old."""
+    """Handling of requests while the revision may be outdated."""
 
     SERVE = 'serve'
     REFUSE = 'refuse'
 
 
 class VmListKind(enum.Enum):
-    """Where the VM list comes from."""
+    """Source of the VM list."""
 
     HTTP = 'http'
     STATIC = 'static'
@@ -42,15 +42,16 @@
 
 @attrs.frozen
 class CallerSettings:
-    """The address for callers and the limits that guard its memory.
+    """Listener for callers and the limits that bound its memory use.
 
     Attributes:
-        host: IP number to bind.
+        host: IP address to bind.
         port: Port to bind, 0 for any.
-        max_header_bytes: Larger request headers are refused.
-        max_body_bytes: Larger request bodies are refused.
-        max_connections: Connections beyond this are closed at once.
-        idle_seconds: A connection without progress is closed after this.
+        max_header_bytes: Largest request headers; larger ones are refused.
+        max_body_bytes: Largest request body; larger ones are refused.
+        max_connections: Connections above this number are closed at once.
+        idle_seconds: Time without progress after which a connection is
+            closed.
     """
 
     host: str = '127.0.0.1'
@@ -58,17 +59,17 @@
     max_header_bytes: ByteCount = bounded(32 * 1024, 1024, 1024 * 1024)
     max_body_bytes: ByteCount = bounded(1024 * 1024, 1024, 64 * 1024 * 1024)
     max_connections: int = bounded(2000, 1, 100_000)
-    idle_seconds: Seconds = bounded(60.0, 0.1, DAY)
+    idle_seconds: Seconds = bounded(60.0, 0.1, DAY_SECONDS)
 
 
 @attrs.frozen
 class OperatorSettings:
-    """The address for operators.
+    """Listener for operators.
 
     Attributes:
-        credential: `salt$sha256(salt + credential)` in hex; without one the
-            interface refuses every call.
-        host: IP number to bind.
+        credential: `salt$sha256(salt + credential)` in hex; if empty,
+            the interface refuses every call.
+        host: IP address to bind.
         port: Port to bind, 0 for any.
     """
 
@@ -79,12 +80,13 @@
 
 @attrs.frozen
 class TlsSettings:
-    """Files of the mutual TLS between peers; reloaded when they change.
+    """Files for mutual TLS between peers; reloaded when they change.
 
     Attributes:
         certificate: PEM file with this router's certificate chain.
         key: PEM file with its private key.
-        ca: PEM file with the authority that signs every router.
+        ca: PEM file with the certificate authority that signs the
+            certificates of all routers.
     """
 
     certificate: str
@@ -94,17 +96,17 @@
 
 @attrs.frozen
 class PeerSettings:
-    """The address for other routers.
+    """Listener for other routers.
 
     Attributes:
-        host: IP number to bind.
+        host: IP address to bind.
         port: Port to bind, 0 for any.
-        link: The protocol.
+        link: Protocol between routers.
         advertised_port: Port at which other routers reach this one, 0 for
-            the bound one.
+            the bound port.
         tls: Mutual TLS, None for plain connections.
-        allow_plain_beyond_loopback: Must be true before plain connections
-            are served on an address that other machines reach.
+        allow_plain_beyond_loopback: Must be true for plain connections on an
+            address that other machines can reach.
     """
 
     host: str = '127.0.0.1'
@@ -117,13 +119,14 @@
 
 @attrs.frozen
 class KeyValueSettings:
-    """The platform's key-value service.
+    """Access to the platform's key-value service.
 
     Attributes:
         adapter: Name of the adapter.
         endpoints: Base URLs, tried in order.
-        timeout_seconds: A call without an answer after this is uncertain.
-        prefix: Every key of this fleet begins with it.
+        timeout_seconds: Timeout of a call, after which its outcome is
+            unknown.
+        prefix: Prefix of all keys of this fleet.
     """
 
     endpoints: tuple[str, ...]
@@ -134,14 +137,14 @@
 
 @attrs.frozen
 class VmListSettings:
-    """The platform's VM list.
+    """Access to the platform's VM list.
 
     Attributes:
-        adapter: An HTTP address, or a list in the settings.
-        url: Address of the list, for `http`.
+        adapter: Source of the list: an HTTP address or these settings.
+        url: URL of the list, for `http`.
         vms: The list itself, for `static`.
-        interval_seconds: How often the list is read.
-        timeout_seconds: A read without an answer after this has failed.
+        interval_seconds: Time between reads of the list.
+        timeout_seconds: Timeout of a read, after which it has failed.
     """
 
     adapter: VmListKind = VmListKind.STATIC
@@ -153,24 +156,24 @@
 
 @attrs.frozen
 class StopSettings:
-    """How the router stops.
+    """Graceful shutdown of the router.
 
     Attributes:
         balancer_grace_seconds: Time between failing readiness and closing
-            the listeners, in which the balancer takes the router out.
-        stream_seconds: Time that requests in progress get to finish.
+            the listeners, in which the load balancer removes the router.
+        stream_seconds: Time allowed for requests in progress to finish.
     """
 
     balancer_grace_seconds: Seconds = bounded(5.0, 0.0, 600.0)
-    stream_seconds: Seconds = bounded(900.0, 0.0, DAY)
+    stream_seconds: Seconds = bounded(900.0, 0.0, DAY_SECONDS)
 
 
 @attrs.frozen
 class DecisionSettings:
-    """How many decisions are kept in memory.
+    """Retention of decisions in memory.
 
     Attributes:
-        capacity: The latest decisions that can be read back.
+        capacity: Number of latest decisions that are retained.
     """
 
     capacity: int = bounded(5000, 1, 1_000_000)
@@ -178,10 +181,10 @@
 
 @attrs.frozen
 class TracingSettings:
-    """Where spans go.
+    """Export of trace spans.
 
     Attributes:
-        otlp_endpoint: OTLP/HTTP address; without one no span is recorded.
+        otlp_endpoint: OTLP/HTTP URL; without one, no span is recorded.
     """
 
     otlp_endpoint: str | None = None
@@ -189,25 +192,27 @@
 
 @attrs.frozen
 class ConfigurationSettings:
-    """What holds while no newer configuration can be seen.
+    """Behaviour while the configuration cannot be confirmed.
 
     Attributes:
-        when_cut_off: Serve by the revision in force, or refuse, once
-            neither the key-value service nor a peer has confirmed it for
-            `cut_off_seconds`.
-        cut_off_seconds: The time after which the router counts as cut off.
+        when_cut_off: Whether requests are served by the revision in force or
+            refused, once neither the key-value service nor a peer has
+            confirmed the revision for `cut_off_seconds`.
+        cut_off_seconds: Time without confirmation after which the router
+            counts as cut off.
     """
 
     when_cut_off: CutOffPolicy = CutOffPolicy.SERVE
-    cut_off_seconds: Seconds = bounded(30.0, 1.0, DAY)
+    cut_off_seconds: Seconds = bounded(30.0, 1.0, DAY_SECONDS)
 
 
 @attrs.frozen
 class AdmissionSettings:
-    """How much the owners of chats remember; the same on all routers.
+    """Memory of the owners of chats; must be the same on all routers.
 
     Attributes:
-        chats: Chats whose places an owner remembers for one group of chats.
+        chats: Maximum number of chats, for each group of upstreams, whose
+            engine the owner remembers.
     """
 
     chats: int = bounded(50_000, 100, 10_000_000)
@@ -215,47 +220,48 @@
 
 @attrs.frozen
 class ClaimSettings:
-    """How non-idempotent requests are kept from running twice.
+    """Claims, which prevent non-idempotent requests from running twice.
 
     Attributes:
-        shards: Logs that the claims are spread over; the same on every
-            router, changed only with the whole fleet stopped for longer
-            than the retention.
-        retention_seconds: A request that comes again within this time is
-            not run again.
-        write_gap_seconds: Least time between two writes of one shard.
+        shards: Number of logs that the claims are spread over; must be the
+            same on all routers, and may change only after the whole fleet
+            was stopped for longer than the retention.
+        retention_seconds: Time within which a repeated request is not run
+            again.
+        write_gap_seconds: Minimum time between two writes of a shard.
     """
 
     shards: int = bounded(1, 1, 256)
-    retention_seconds: Seconds = bounded(3600.0, 60.0, 7 * DAY)
+    retention_seconds: Seconds = bounded(3600.0, 60.0, 7 * DAY_SECONDS)
     write_gap_seconds: Seconds = bounded(0.0105, 0.0, 1.0)
 
 
 @attrs.frozen
 class OrderSettings:
-    """How engines are brought to the models they are to serve.
+    """Rollout of orders: which models engines have to serve.
 
     Attributes:
-        interval_seconds: How often a controller reads its engines.
-        loads_at_once: Orders of a pool in progress at once.
-        load_gap_seconds: Least time between two orders of a pool: what the
-            weight store bears.
-        unavailable: Share of a model's engines that may be down at once.
-        settle_seconds: Time in which an engine must serve what it was
-            ordered to.
-        bake_seconds: Time for which a first engine must serve a new target
-            before others follow.
-        engine_read_seconds: An engine drops a request whose body has not
-            come for so long; a new controller waits for it where engines
-            ignore fencing tokens.
+        interval_seconds: Time between a controller's reads of its engines.
+        loads_at_once: Maximum number of orders of a pool in progress.
+        load_gap_seconds: Minimum time between two orders of a pool; limits
+            the load on the weight store.
+        unavailable: Percentage of a model's engines that may be down at the
+            same time.
+        settle_seconds: Time within which an engine must serve the model of
+            its order.
+        bake_seconds: Time for which the first engine must serve a new
+            target before other engines follow.
+        engine_read_seconds: Time after which an engine drops a request
+            whose body has not arrived; a new controller waits this long
+            where engines ignore fencing tokens.
     """
 
     interval_seconds: Seconds = bounded(2.0, 0.1, 60.0)
     loads_at_once: int = bounded(4, 1, 1000)
     load_gap_seconds: Seconds = bounded(1.0, 0.0, 3600.0)
     unavailable: float = bounded(25.0, 0, 100)
-    settle_seconds: Seconds = bounded(600.0, 1.0, DAY)
-    bake_seconds: Seconds = bounded(30.0, 0.0, DAY)
+    settle_seconds: Seconds = bounded(600.0, 1.0, DAY_SECONDS)
+    bake_seconds: Seconds = bounded(30.0, 0.0, DAY_SECONDS)
     engine_read_seconds: Seconds = bounded(60.0, 1.0, 3600.0)
 
 
@@ -264,14 +270,16 @@
     """Limits on the answers of upstreams.
 
     Attributes:
-        max_event_bytes: A larger server-sent event breaks its stream.
-        max_whole_bytes: A larger whole model answer is refused.
-        held_bytes: An answer that states at most this length is held until
-            it is whole, so that it can be tried again unseen.
-        stall_seconds: An answer without a byte for so long is broken off.
-        named_by_request: Whether engines take the request's id over into
-            the `id` of a chat answer; an answer without it is then taken
-            for another request's.
+        max_event_bytes: Largest server-sent event; a larger one aborts its
+            stream.
+        max_whole_bytes: Largest complete model answer; a larger one is
+            refused.
+        held_bytes: Answers that state at most this length are buffered
+            until complete, so that a retry is invisible to the caller.
+        stall_seconds: Time without a byte after which an answer is aborted.
+        named_by_request: Whether engines copy the request's id into the
+            `id` of a chat answer; an answer without it is then treated as
+            the answer to another request.
     """
 
     max_event_bytes: ByteCount = bounded(256 * 1024, 1024, 64 * 1024 * 1024)
@@ -279,17 +287,18 @@
         8 * 1024 * 1024, 1024 * 1024, 1024 * 1024 * 1024
     )
     held_bytes: ByteCount = bounded(64 * 1024, 0, 1024 * 1024)
-    stall_seconds: Seconds = bounded(30.0, 0.1, DAY)
+    stall_seconds: Seconds = bounded(30.0, 0.1, DAY_SECONDS)
     named_by_request: bool = True
 
 
 @attrs.frozen
 class AttemptSettings:
-    """When a request is run, again or not at all.
+    """Conditions for running and retrying requests.
 
     Attributes:
-        retry_share: Retries allowed for each first attempt of a pool.
-        retry_after_seconds: Told to callers whose request was not run.
+        retry_share: Retries of a pool, as a percentage of its first
+            attempts.
+        retry_after_seconds: Sent to callers whose request was not run.
         require_idempotency_key: Whether a non-idempotent request without an
             Idempotency-Key is refused.
     """
@@ -301,29 +310,30 @@
 
 @attrs.frozen
 class RouterSettings:
-    """Everything that one router process is told at its start.
+    """All settings of a router process.
 
     Attributes:
-        id: Unique for ever among the routers of the fleet.
-        availability_zone: Where this VM stands.
-        key_value: The platform's key-value service.
-        region: Where this VM stands.
-        callers: The address for callers.
-        operators: The address for operators.
-        peers: The address for other routers.
-        vm_list: The platform's VM list.
-        stop: How the router stops.
-        decisions: How many decisions are kept.
-        tracing: Where spans go.
-        configuration: What holds while cut off.
-        admission: How much the owners of chats remember.
-        claims: How non-idempotent requests are kept from running twice.
-        orders: How engines are brought to their models.
+        id: Name of the router, unique in the fleet and never reused.
+        availability_zone: Availability zone of this VM.
+        key_value: Access to the platform's key-value service.
+        region: Region of this VM.
+        callers: Listener for callers.
+        operators: Listener for operators.
+        peers: Listener for other routers.
+        vm_list: Access to the platform's VM list.
+        stop: Graceful shutdown of the router.
+        decisions: Retention of decisions.
+        tracing: Export of trace spans.
+        configuration: Behaviour while the configuration cannot be
+            confirmed.
+        admission: Memory of the owners of chats.
+        claims: Prevents non-idempotent requests from running twice.
+        orders: Rollout of orders to engines.
         answers: Limits on the answers of upstreams.
-        attempts: When a request is run, again or not at all.
-        seed: Seed of the random numbers, None for one of the system.
-        forwarding: Forwards any HTTP request by the platform's rules, in
-            place of chat completions by the operators' own.
+        attempts: Conditions for running and retrying requests.
+        seed: Seed of the random numbers, None for one from the system.
+        forwarding: Forwards any HTTP request by the platform's rules,
+            instead of chat completions by the operators' rules.
     """
 
     id: str
--- a/lavenderbend/state/upstreams.py
+++ b/lavenderbend/state/upstreams.py
@@ -1,4 +1,4 @@
-"""VMs, upstreams and what they report."""
+"""VMs, upstreams and load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UpstreamKind(enum.Enum):
-    """What stands behind an address."""
+    """Kind of process that runs on a VM."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -16,7 +16,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform's VM list says of a VM."""
+    """State of a VM in the platform's VM list."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -24,15 +24,16 @@
 
 @attrs.frozen
 class Vm:
-    """One line of the platform's VM list.
+    """One entry of the platform's VM list.
 
     Attributes:
-        id: The VM's name, unique for ever.
-        host: IP number.
+        id: Name of the VM, never reused.
+        host: IP address.
         port: Port of the process on it (for routers, the peer port).
-        availability_zone: Its zone.
-        region: Its region.
-        service: The service it belongs to; pools select upstreams by it.
+        availability_zone: Zone of the VM.
+        region: Region of the VM.
+        service: Service that the VM belongs to; pools select upstreams by
+            it.
         kind: Engine, plain service or router.
         state: Live or leaving.
     """
@@ -49,19 +50,19 @@
 
 @attrs.frozen
 class LoadReport:
-    """What an engine says of itself, some time late.
+    """Load of an engine as reported by itself, with a delay of `age`.
 
     Attributes:
         upstream: VM id of the engine.
-        instance: Changes whenever the process starts anew.
+        instance: Id of the engine's process; changes with each restart.
         running: Requests in progress.
         waiting: Requests accepted but not started.
-        age: Seconds between the taking of the figures and their arrival,
-            as the engine states it.
-        models: Models now serving.
-        adapters: Adapters now loaded.
-        draining: The engine says that it is leaving.
-        max_running: Batch size limit of the engine, 0 for unknown.
+        age: Seconds between measuring the figures and receiving them, as
+            the engine states it.
+        models: Models being served.
+        adapters: Adapters that are loaded.
+        draining: Whether the engine reports that it is leaving.
+        max_running: Batch size limit of the engine, 0 if unknown.
     """
 
     upstream: str
@@ -76,5 +77,5 @@
 
     @property
     def load(self) -> int:
-        """Requests that the engine has taken and not finished."""
+        """Requests accepted by the engine and not finished."""
         return self.running + self.waiting
--- a/lavenderbend/state/rule_sets.py
+++ b/lavenderbend/state/validation.py
@@ -1,4 +1,4 @@
-"""What must hold between the parts of a configuration or of settings."""
+"""Checks of a configuration or of settings beyond the types of fields."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 
 CREDENTIAL = re.compile(r'[0-9a-f]{8,64}\$[0-9a-f]{64}')
 CREDENTIAL_FORM = 'salt$sha256(salt + credential), both in lower-case hex'
-# the only adapter whose store holds routes and upstreams to forward by
+# forwarding reads routes and upstreams from the store, and only the store
+# of this adapter holds them
 FORWARDING_ADAPTER = 'platform'
 METHODS = ('DELETE', 'GET', 'HEAD', 'OPTIONS', 'PATCH', 'POST', 'PUT')
 
 
 @attrs.frozen
 class Problem:
-    """A fault of a document whose types are right.
+    """A fault of a document whose fields have valid types.
 
     Attributes:
-        path: Keys and list positions from the top.
+        path: Keys and list positions, from the top of the document.
         fault: What is wrong.
-        allowed: What may stand there.
+        allowed: The values that are allowed there.
     """
 
     path: tuple[str | int, ...]
@@ -38,28 +39,32 @@
     allowed: str
 
 
-def problems(document: configuration.Configuration) -> list[Problem]:
-    """Returns what makes a configuration unacceptable, all of it."""
+def configuration_problems(
+    document: configuration.Configuration,
+) -> list[Problem]:
+    """Returns all problems of a configuration."""
     return [
-        *unique('rules', document.rules),
-        *unique('pools', document.pools),
-        *unique('customers', document.customers),
+        *name_problems('rules', document.rules),
+        *name_problems('pools', document.pools),
+        *name_problems('customers', document.customers),
         *rule_problems(document),
         *customer_problems(document),
         *order_problems(document),
     ]
 
 
-def unique(key: str, items: Iterable[configuration.Rule]) -> Iterator[Problem]:
-    """Yields the names that are empty or stand twice."""
+def name_problems(
+    key: str, entries: Iterable[configuration.Rule]
+) -> Iterator[Problem]:
+    """Yields the problems of empty and duplicate names in a list."""
     seen = set()
-    for index, item in enumerate(items):
+    for index, entry in enumerate(entries):
         path = (key, index, 'name')
-        if not item.name:
+        if not entry.name:
             yield Problem(path, 'empty', 'a name')
-        if item.name in seen:
-            yield Problem(path, f'{item.name!r} again', 'a name used once')
-        seen.add(item.name)
+        if entry.name in seen:
+            yield Problem(path, f'duplicate {entry.name!r}', 'a unique name')
+        seen.add(entry.name)
 
 
 def rule_problems(document: configuration.Configuration) -> Iterator[Problem]:
@@ -75,9 +80,11 @@
 def then_problems(
     then: configuration.Then, pools: list[str], path: tuple[str | int, ...]
 ) -> Iterator[Problem]:
-    """Yields the problems of where a rule sends requests."""
+    """Yields the problems of a rule's action."""
     if (then.pool is None) == (then.reject is None):
-        yield Problem(path, 'pool and reject', 'one of the two')
+        yield Problem(
+            path, 'both or neither of pool and reject', 'exactly one of them'
+        )
     if then.pool is not None and then.pool not in pools:
         allowed = ' | '.join(pools) or 'a pool of this document'
         yield Problem((*path, 'pool'), f'no pool {then.pool!r}', allowed)
@@ -98,31 +105,38 @@
             )
     for index, method in enumerate(when.method):
         if method not in METHODS:
-            place = (*path, 'method', index)
-            yield Problem(place, f'method {method!r}', ' | '.join(METHODS))
+            key_path = (*path, 'method', index)
+            yield Problem(key_path, f'method {method!r}', ' | '.join(METHODS))
     for index, text in enumerate(when.path):
         if not text.startswith(('/', '*')):
-            place = (*path, 'path', index)
-            yield Problem(place, f'path {text!r}', 'a path that begins with /')
+            key_path = (*path, 'path', index)
+            yield Problem(
+                key_path, f'path {text!r}', 'a path that begins with /'
+            )
     for name in when.header:
         if name != name.lower() or not name:
-            place = (*path, 'header', name)
-            yield Problem(place, 'header name', 'a name in lower case')
+            key_path = (*path, 'header', name)
+            yield Problem(
+                key_path, 'invalid header name', 'a name in lower case'
+            )
 
 
 def customer_problems(
     document: configuration.Configuration,
 ) -> Iterator[Problem]:
-    """Yields credentials that are no salted hash."""
+    """Yields the problems of credentials.
+
+    A credential must be a salted hash and belong to one customer only.
+    """
     owners: dict[str, str] = {}
     for index, customer in enumerate(document.customers):
         for position, credential in enumerate(customer.credentials):
             path = ('customers', index, 'credentials', position)
             if not CREDENTIAL.fullmatch(credential):
-                yield Problem(path, 'no salted hash', CREDENTIAL_FORM)
+                yield Problem(path, 'not a salted hash', CREDENTIAL_FORM)
             owner = owners.setdefault(credential, customer.name)
             if owner != customer.name:
-                yield Problem(path, f'also of {owner!r}', 'one customer')
+                yield Problem(path, f'also used by {owner!r}', 'one customer')
 
 
 def order_problems(document: configuration.Configuration) -> Iterator[Problem]:
@@ -135,56 +149,70 @@
             allowed = ' | '.join(sorted(pools)) or 'a pool of this document'
             yield Problem((*path, 'pool'), f'no pool {order.pool!r}', allowed)
         if (order.pool, order.model) in seen:
-            place = (*path, 'model')
-            yield Problem(place, f'{order.model!r} again', 'one order each')
+            key_path = (*path, 'model')
+            yield Problem(
+                key_path,
+                f'duplicate {order.model!r}',
+                'one order for each model',
+            )
         seen.add((order.pool, order.model))
 
 
-def settings_problems(item: settings.RouterSettings) -> list[Problem]:
-    """Returns what makes settings unusable, all of it."""
-    found = [*address_problems(item)]
-    if not item.id:
-        found.append(Problem(('id',), 'empty', 'a name unique for ever'))
-    if not item.key_value.endpoints:
+def settings_problems(
+    router_settings: settings.RouterSettings,
+) -> list[Problem]:
+    """Returns all problems of a router's settings."""
+    problems = [*address_problems(router_settings)]
+    if not router_settings.id:
+        problems.append(
+            Problem(('id',), 'empty', 'a name that is never reused')
+        )
+    if not router_settings.key_value.endpoints:
         path = ('key_value', 'endpoints')
-        found.append(Problem(path, 'empty', 'at least one URL'))
-    for index, url in enumerate(item.key_value.endpoints):
+        problems.append(Problem(path, 'empty', 'at least one URL'))
+    for index, url in enumerate(router_settings.key_value.endpoints):
         path = ('key_value', 'endpoints', index)
-        found.extend(url_problems(path, url))
-    if item.vm_list.adapter is settings.VmListKind.HTTP:
-        found.extend(url_problems(('vm_list', 'url'), item.vm_list.url))
-    if item.tracing.otlp_endpoint is not None:
+        problems.extend(url_problems(path, url))
+    if router_settings.vm_list.adapter is settings.VmListKind.HTTP:
+        problems.extend(
+            url_problems(('vm_list', 'url'), router_settings.vm_list.url)
+        )
+    if router_settings.tracing.otlp_endpoint is not None:
         path = ('tracing', 'otlp_endpoint')
-        found.extend(url_problems(path, item.tracing.otlp_endpoint))
-    if item.forwarding is not None:
-        found.extend(forwarding_problems(item))
-    credential = item.operators.credential
+        problems.extend(
+            url_problems(path, router_settings.tracing.otlp_endpoint)
+        )
+    if router_settings.forwarding is not None:
+        problems.extend(forwarding_problems(router_settings))
+    credential = router_settings.operators.credential
     if credential and not CREDENTIAL.fullmatch(credential):
         path = ('operators', 'credential')
-        found.append(Problem(path, 'no salted hash', CREDENTIAL_FORM))
-    return found
+        problems.append(Problem(path, 'not a salted hash', CREDENTIAL_FORM))
+    return problems
 
 
-def forwarding_problems(item: settings.RouterSettings) -> Iterator[Problem]:
-    """Yields the problems of a router that forwards any HTTP request."""
-    if item.key_value.adapter != FORWARDING_ADAPTER:
+def forwarding_problems(
+    router_settings: settings.RouterSettings,
+) -> Iterator[Problem]:
+    """Yields the problems of the settings for forwarding."""
+    if router_settings.key_value.adapter != FORWARDING_ADAPTER:
         yield Problem(
             ('key_value', 'adapter'),
-            f'{item.key_value.adapter!r} with forwarding',
+            f'{router_settings.key_value.adapter!r} with forwarding',
             FORWARDING_ADAPTER,
         )
-    listen = item.forwarding.listen
+    listen = router_settings.forwarding.listen
     for name in ('callers', 'readiness', 'peers'):
         path = ('forwarding', 'listen', name)
         yield from host_port_problems(path, getattr(listen, name))
-    for index, text in enumerate(item.forwarding.peers):
+    for index, text in enumerate(router_settings.forwarding.peers):
         yield from host_port_problems(('forwarding', 'peers', index), text)
 
 
 def host_port_problems(
     path: tuple[str | int, ...], text: str
 ) -> Iterator[Problem]:
-    """Yields the problem of a text that is no IP number with a port."""
+    """Yields a problem if the text is not an IP address with a port."""
     host, _, port = text.rpartition(':')
     try:
         ipaddress.ip_address(host)
@@ -196,33 +224,37 @@
 
 
 def url_problems(path: tuple[str | int, ...], url: str) -> Iterator[Problem]:
-    """Yields the problem of an address that is no HTTP URL."""
+    """Yields a problem if the address is not an HTTP URL."""
     if not re.fullmatch(r'https?://[^\s/]+(/\S*)?', url):
         yield Problem(path, f'address {url!r}', 'http://... or https://...')
 
 
-def address_problems(item: settings.RouterSettings) -> Iterator[Problem]:
-    """Yields the problems of the addresses to bind."""
+def address_problems(
+    router_settings: settings.RouterSettings,
+) -> Iterator[Problem]:
+    """Yields the problems of the addresses of the listeners."""
     used: dict[tuple[str, int], str] = {}
     for name in ('callers', 'operators', 'peers'):
-        part = getattr(item, name)
+        listener = getattr(router_settings, name)
         try:
-            ipaddress.ip_address(part.host)
+            ipaddress.ip_address(listener.host)
         except ValueError:
             path = (name, 'host')
-            yield Problem(path, f'host {part.host!r}', 'an IP number')
+            yield Problem(path, f'host {listener.host!r}', 'an IP address')
             continue
-        owner = used.setdefault((part.host, part.port), name)
-        if part.port and owner != name:
-            yield Problem((name, 'port'), f'also of {owner}', 'a free port')
-    yield from plain_peer_problems(item.peers)
+        owner = used.setdefault((listener.host, listener.port), name)
+        if listener.port and owner != name:
+            yield Problem(
+                (name, 'port'), f'also used by {owner}', 'an unused port'
+            )
+    yield from plain_peer_problems(router_settings.peers)
 
 
 def plain_peer_problems(peers: settings.PeerSettings) -> Iterator[Problem]:
-    """Yields the problem of plain peer links that others could reach.
+    """Yields a problem if other machines can reach plain peer connections.
 
-    Whoever reaches a plain peer port can release permits and pass off
-    configuration; so it is refused unless the settings allow it by name.
+    Anyone who can reach a plain peer port can release permits and send
+    forged configuration, so the settings must allow it explicitly.
     """
     if peers.tls is not None or peers.allow_plain_beyond_loopback:
         return
--- a/tests/test_daemon/test_daemon_adapters.py
+++ b/tests/test_daemon/test_daemon_adapters.py
@@ -128,5 +128,5 @@
 def test_buffered_answer_never_exceeds_the_answer_limit():
     bounds = attrs.fields_dict(settings.AnswerSettings)
 
-    max_held = bounds['held_bytes'].metadata['bounds'].most
-    assert max_held <= bounds['max_whole_bytes'].metadata['bounds'].least
+    max_held = bounds['held_bytes'].metadata['bounds'].maximum
+    assert max_held <= bounds['max_whole_bytes'].metadata['bounds'].minimum
--- a/tests/test_state/test_settings.py
+++ b/tests/test_state/test_settings.py
@@ -18,45 +18,50 @@
 
 ROOTS = pathlib.Path(__file__).parents[1] / 'roots'
 EXAMPLES = pathlib.Path(__file__).parents[2] / 'examples'
-SMALL = """
+MINIMAL_SETTINGS = """
 id: router-1
 availability_zone: sala-a
 key_value: {endpoints: ['http://127.0.0.1:2379']}
 """
 
 
-def faults_of(path):
-    with pytest.raises(errors.DocumentErrors) as caught:
+def load_faults(path):
+    with pytest.raises(errors.DocumentErrors) as exc_info:
         documents_yaml.load_settings(path)
-    return {fault.key: fault for fault in caught.value.exceptions}
+    return {fault.key: fault for fault in exc_info.value.exceptions}
 
 
 def parse_fault(text):
-    with pytest.raises(errors.DocumentErrors) as caught:
+    with pytest.raises(errors.DocumentErrors) as exc_info:
         documents_yaml.parse_settings(text, 's.yaml')
-    return caught.value.exceptions[0]
+    return exc_info.value.exceptions[0]
 
 
 @pytest.mark.parametrize('name', ['correo', 'rutaclara'])
-def test_examples_can_be_used(name):
-    item = documents_yaml.load_settings(EXAMPLES / name / 'settings.yaml')
+def test_examples_are_valid(name):
+    router_settings = documents_yaml.load_settings(
+        EXAMPLES / name / 'settings.yaml'
+    )
 
-    assert item.callers.max_body_bytes == 1024 * 1024
-    assert item.stop.stream_seconds == 900.0
+    assert router_settings.callers.max_body_bytes == 1024 * 1024
+    assert router_settings.stop.stream_seconds == 900.0
 
 
-def test_defaults_are_taken():
-    item = documents_yaml.parse_settings(SMALL, 's.yaml')
+def test_defaults_apply():
+    router_settings = documents_yaml.parse_settings(MINIMAL_SETTINGS, 's.yaml')
 
-    assert item.peers.link is settings.LinkKind.FRAMES
-    assert item.configuration.when_cut_off is settings.CutOffPolicy.SERVE
-    assert item.seed is None
+    assert router_settings.peers.link is settings.LinkKind.FRAMES
+    assert (
+        router_settings.configuration.when_cut_off
+        is settings.CutOffPolicy.SERVE
+    )
+    assert router_settings.seed is None
 
 
-def test_every_fault_is_told_at_once_with_line_key_and_what_is_allowed():
+def test_all_faults_are_reported_with_line_key_and_allowed_values():
     path = ROOTS / 'test-settings-wrong' / 'settings.yaml'
 
-    faults = faults_of(path)
+    faults = load_faults(path)
 
     lines = {key: fault.line for key, fault in faults.items()}
     assert lines == {
@@ -78,8 +83,8 @@
     assert '30s' in faults['callers.idle_seconds'].allowed
 
 
-def test_what_does_not_fit_together_is_told():
-    faults = faults_of(ROOTS / 'test-settings-unsafe' / 'settings.yaml')
+def test_conflicting_and_malformed_values_are_reported():
+    faults = load_faults(ROOTS / 'test-settings-unsafe' / 'settings.yaml')
 
     assert set(faults) == {
         'callers.host',
@@ -90,17 +95,17 @@
     }
 
 
-def test_two_listeners_on_one_port_are_told():
-    text = SMALL + 'callers: {port: 8081}\n'
+def test_two_listeners_on_one_port_are_rejected():
+    text = MINIMAL_SETTINGS + 'callers: {port: 8081}\n'
 
     assert parse_fault(text).key == 'operators.port'
 
 
-def test_plain_peers_beyond_loopback_need_a_word_by_name():
-    # story: an operator binds peers to the VM's own address and forgets
-    # TLS. Anybody on that network could then pass off messages of routers.
-    plain = SMALL + 'peers: {host: 10.0.0.1}\n'
-    allowed = SMALL + (
+def test_plain_peers_beyond_loopback_must_be_allowed_explicitly():
+    # An operator binds the peer listener to the VM's own address and forgets
+    # TLS: anyone on that network could send forged router messages.
+    plain = MINIMAL_SETTINGS + 'peers: {host: 10.0.0.1}\n'
+    allowed = MINIMAL_SETTINGS + (
         'peers: {host: 10.0.0.1, allow_plain_beyond_loopback: true}\n'
     )
 
@@ -112,19 +117,21 @@
     ('text', 'seconds'),
     [('500ms', 0.5), ('30s', 30.0), ('1.5m', 90.0), ('2h', 7200.0)],
 )
-def test_durations_have_units(text, seconds):
-    item = documents_yaml.parse_settings(
-        SMALL + f'stop: {{stream_seconds: {text}}}\n', 's'
+def test_durations_with_units_are_parsed(text, seconds):
+    router_settings = documents_yaml.parse_settings(
+        MINIMAL_SETTINGS + f'stop: {{stream_seconds: {text}}}\n', 's'
     )
 
-    assert item.stop.stream_seconds == seconds
+    assert router_settings.stop.stream_seconds == seconds
 
 
 @pytest.mark.parametrize(
     'value', ['30', '-5s', '1e9s', '.inf', '5 parsecs', '30KiB', '', '[]']
 )
-def test_wrong_durations_are_told(value):
-    fault = parse_fault(SMALL + f'stop: {{stream_seconds: {value}}}\n')
+def test_invalid_durations_are_rejected(value):
+    fault = parse_fault(
+        MINIMAL_SETTINGS + f'stop: {{stream_seconds: {value}}}\n'
+    )
 
     assert fault.key == 'stop.stream_seconds'
     assert fault.line == 5
@@ -145,21 +152,26 @@
         ('', 'is not a map'),
     ],
 )
-def test_what_is_no_plain_yaml_is_told(text, fault):
+def test_invalid_yaml_is_rejected(text, fault):
     assert fault in str(parse_fault(text))
 
 
-def test_missing_file_is_told():
+def test_missing_file_is_reported():
     with pytest.raises(errors.DocumentErrors, match='cannot be used'):
         documents_yaml.load_settings(ROOTS / 'nowhere.yaml')
 
 
-# texts that YAML or a careless reader would take for something else
-ODD = st.sampled_from(
+# texts that YAML parsers may read as a type other than string
+AMBIGUOUS_TEXTS = st.sampled_from(
     ['no', '010', '12:30', '1e5', 'null', '~', '30s', '.nan', '<<', '=', '%']
 )
-PLAIN = st.recursive(
-    st.none() | st.booleans() | st.integers() | st.floats() | st.text() | ODD,
+DOCUMENT_VALUES = st.recursive(
+    st.none()
+    | st.booleans()
+    | st.integers()
+    | st.floats()
+    | st.text()
+    | AMBIGUOUS_TEXTS,
     lambda inner: (
         st.lists(inner, max_size=3)
         | st.dictionaries(
@@ -176,8 +188,8 @@
 
 
 @hypothesis_settings(max_examples=300, derandomize=True, deadline=None)
-@given(value=PLAIN)
-def test_any_document_is_read_or_told(value):
+@given(value=DOCUMENT_VALUES)
+def test_any_document_is_parsed_or_rejected(value):
     text = yaml.safe_dump(value, allow_unicode=True)
     for parse in (
         documents_yaml.parse_settings,
@@ -191,7 +203,7 @@
 
 @hypothesis_settings(max_examples=300, derandomize=True, deadline=None)
 @given(data=st.binary(max_size=200))
-def test_any_bytes_are_read_or_told(data):
+def test_any_bytes_are_parsed_or_rejected(data):
     try:
         documents_yaml.parse_settings(data, 'f')
     except errors.DocumentErrors as exc:
@@ -200,7 +212,7 @@
 
 @hypothesis_settings(max_examples=200, derandomize=True, deadline=None)
 @given(data=st.data())
-def test_any_change_of_an_example_is_read_or_told(data):
+def test_any_change_of_an_example_is_parsed_or_rejected(data):
     text = (EXAMPLES / 'correo' / 'settings.yaml').read_bytes()
     start = data.draw(st.integers(0, len(text)))
     end = data.draw(st.integers(start, min(len(text), start + 20)))
@@ -211,30 +223,30 @@
         assert exc.exceptions
 
 
-def numbers_of(cls):
-    for part in reference_classes(cls, []):
-        for field in attrs.fields(part):
-            kinds = (int, float, settings.Seconds, settings.ByteCount)
-            if field.type in kinds:
-                yield part, field
+def numeric_fields(cls):
+    for nested in nested_classes(cls, []):
+        for field in attrs.fields(nested):
+            number_types = (int, float, settings.Seconds, settings.ByteCount)
+            if field.type in number_types:
+                yield nested, field
 
 
-def reference_classes(cls, found):
-    found.append(cls)
+def nested_classes(cls, classes):
+    classes.append(cls)
     for field in attrs.fields(attrs.resolve_types(cls)):
-        for part in (field.type, *get_args(field.type)):
-            if attrs.has(part) and part not in found:
-                reference_classes(part, found)
-    return found
+        for nested in (field.type, *get_args(field.type)):
+            if attrs.has(nested) and nested not in classes:
+                nested_classes(nested, classes)
+    return classes
 
 
 @pytest.mark.parametrize(
     'cls', [settings.RouterSettings, configuration.Configuration]
 )
 def test_every_number_has_bounds(cls):
-    # a new number without bounds could be set to -1 and break a router only
-    # once it is under load
-    for part, field in numbers_of(cls):
-        key = (part, field.name)
-        known = 'bounds' in field.metadata or key in structuring.FIELD_BOUNDS
-        assert known, key
+    # A numeric field without bounds accepts values such as -1, which break a
+    # router only once it is under load.
+    for nested, field in numeric_fields(cls):
+        key = (nested, field.name)
+        bounded = 'bounds' in field.metadata or key in structuring.FIELD_BOUNDS
+        assert bounded, key
