--- a/lavenderbend/state/decisions.py
+++ b/lavenderbend/state/decisions.py
@@ -83,8 +83,8 @@
         idempotency_key: The caller's key, if any.
         adapter: Adapter named by the caller.
         availability_zone: Zone of the entry router.
-        headers: Recorded headers that rules can match, bounded in number
-            and size.
+        headers: Headers that rules can match, as selected by
+            `rules.recorded_headers`.
     """
 
     id: str
