--- a/lavenderbend/coordination/configuration/log.py
+++ b/lavenderbend/coordination/configuration/log.py
@@ -14,7 +14,7 @@
 from lavenderbend.coordination.configuration import chain as configuration_chain
 from lavenderbend.protocol import records_configuration as records
 from lavenderbend.state import documents
-from lavenderbend.state import rule_sets
+from lavenderbend.state import validation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -342,7 +342,7 @@
     Raises:
         ConfigurationInvalid: It is not.
     """
-    problems = rule_sets.problems(document)
+    problems = validation.configuration_problems(document)
     if not problems:
         return
     lines = [
